--- a/src/orchidwind/commands/explain.py
+++ b/src/orchidwind/commands/explain.py
@@ -8,7 +8,7 @@
 from datetime import datetime, timedelta
 from pathlib import Path
 
-from orchidwind.core.errors import OrchidwindError
+from orchidwind.shared.core.errors import OrchidwindError
 
 _FIELD = re.compile(r'(\w+)=("(?:[^"\\]|\\.)*"|\S+)')
 _BEFORE = timedelta(seconds=3)
--- a/src/orchidwind/commands/main.py
+++ b/src/orchidwind/commands/main.py
@@ -13,11 +13,11 @@
 
 from orchidwind.commands import operations
 from orchidwind.commands.explain import read_logs, story
-from orchidwind.core.errors import OrchidwindError, SettingsError
-from orchidwind.daemon import ProxyDaemon
-from orchidwind.logs import configure_logging
+from orchidwind.elected.daemon import ProxyDaemon
 from orchidwind.platform.settings import load_platform_settings
-from orchidwind.settings import ProxyOverrides, ProxySettings, load_proxy_settings
+from orchidwind.shared.core.errors import OrchidwindError, SettingsError
+from orchidwind.shared.logs import configure_logging
+from orchidwind.shared.settings import ProxyOverrides, ProxySettings, load_proxy_settings
 
 _BAD_FILE = 2
 _FAILED = 1
--- a/src/orchidwind/commands/operations.py
+++ b/src/orchidwind/commands/operations.py
@@ -8,9 +8,9 @@
 
 from tornado.httpclient import AsyncHTTPClient, HTTPClientError
 
-from orchidwind.core.configuration import OperatorFile, parse_operator_file
-from orchidwind.core.errors import PlatformConflict, PlatformError, SettingsError
-from orchidwind.network.platform_client import ConfigurationObject, Metadata, PlatformClient
+from orchidwind.elected.core.configuration import OperatorFile, parse_operator_file
+from orchidwind.elected.network.platform_client import ConfigurationObject, Metadata, PlatformClient
+from orchidwind.shared.core.errors import PlatformConflict, PlatformError, SettingsError
 
 _ATTEMPTS = 5
 _PAUSE_SECONDS = 0.3
--- /dev/null
+++ b/src/orchidwind/elected/core/__init__.py
@@ -0,0 +1,1 @@
+"""Decisions of elected groups; no input or output, no clock."""
--- a/src/orchidwind/core/caller_session.py
+++ b/src/orchidwind/elected/core/caller_session.py
@@ -5,17 +5,15 @@
 import re
 from dataclasses import dataclass, replace
 
-from orchidwind.core.classification import (
+from orchidwind.elected.core.classification import (
     Classification,
     StatementKind,
     classify,
     comment_tags,
     split_comment,
 )
-from orchidwind.core.errors import ErrorKind, RequestError
-from orchidwind.core.ledger import is_valid_request_id
-from orchidwind.core.positions import ORIGIN, Position
-from orchidwind.core.statements import (
+from orchidwind.elected.core.ledger import is_valid_request_id
+from orchidwind.elected.core.statements import (
     TRANSACTION_FAILED,
     TRANSACTION_IDLE,
     Floor,
@@ -24,6 +22,8 @@
     RequestKind,
     SessionSetting,
 )
+from orchidwind.shared.core.errors import ErrorKind, RequestError
+from orchidwind.shared.core.positions import ORIGIN, Position
 
 SETTING_SESSION = "orchidwind.session"
 SETTING_TOKEN = "orchidwind.session_token"
--- a/src/orchidwind/core/classification.py
+++ b/src/orchidwind/elected/core/classification.py
@@ -14,7 +14,7 @@
 
 from sqlglot.tokens import Token, TokenType
 
-from orchidwind.core.sql_text import tokenize_statements
+from orchidwind.elected.core.sql_text import tokenize_statements
 
 CACHED_STATEMENTS = 4096
 
--- a/src/orchidwind/core/commit_barrier.py
+++ b/src/orchidwind/elected/core/commit_barrier.py
@@ -12,8 +12,8 @@
 from dataclasses import dataclass
 from enum import Enum, unique
 
-from orchidwind.core.group_view import GroupView, InstanceReport
-from orchidwind.core.positions import Position
+from orchidwind.elected.core.group_view import GroupView, InstanceReport
+from orchidwind.shared.core.positions import Position
 
 
 @unique
--- a/src/orchidwind/core/configuration.py
+++ b/src/orchidwind/elected/core/configuration.py
@@ -6,10 +6,10 @@
 
 import msgspec
 
-from orchidwind.core.admission import TrafficClass
-from orchidwind.core.checked_decoding import decode_checked
-from orchidwind.core.commit_barrier import Acknowledge
-from orchidwind.core.errors import SettingsError
+from orchidwind.elected.core.commit_barrier import Acknowledge
+from orchidwind.shared.core.admission import TrafficClass
+from orchidwind.shared.core.checked_decoding import decode_checked
+from orchidwind.shared.core.errors import SettingsError
 
 DEFAULT_CLASS = "default"
 _MILLISECONDS = 1000.0
--- a/src/orchidwind/core/configuration_history.py
+++ b/src/orchidwind/elected/core/configuration_history.py
@@ -9,7 +9,7 @@
 
 from dataclasses import dataclass
 
-from orchidwind.core.configuration import ConfigurationDocument
+from orchidwind.elected.core.configuration import ConfigurationDocument
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/orchidwind/core/flow_parts.py
+++ b/src/orchidwind/elected/core/flow_parts.py
@@ -4,10 +4,9 @@
 
 from collections.abc import Generator
 
-from orchidwind.core.errors import BackendConnectionLost, ErrorKind, RequestError
-from orchidwind.core.group_view import PrimaryReference
-from orchidwind.core.statements import RunResult, Statement, StatementRequest
-from orchidwind.core.steps import (
+from orchidwind.elected.core.group_view import PrimaryReference
+from orchidwind.elected.core.statements import RunResult, Statement, StatementRequest
+from orchidwind.elected.core.steps import (
     ApplySettings,
     NeedConnection,
     NeedPrimary,
@@ -16,6 +15,7 @@
     Step,
     StepResult,
 )
+from orchidwind.shared.core.errors import BackendConnectionLost, ErrorKind, RequestError
 
 READ_ONLY_TRANSACTION = "25006"
 
--- a/src/orchidwind/core/flows.py
+++ b/src/orchidwind/elected/core/flows.py
@@ -13,8 +13,7 @@
 
 from collections.abc import Generator
 
-from orchidwind.core.errors import ErrorKind, RequestError
-from orchidwind.core.flow_parts import (
+from orchidwind.elected.core.flow_parts import (
     Lost,
     connect,
     connect_primary,
@@ -23,12 +22,11 @@
     transaction_lost,
     write_lost,
 )
-from orchidwind.core.group_view import PrimaryReference
-from orchidwind.core.ledger import claim_statement
-from orchidwind.core.named_write import named_write_flow
-from orchidwind.core.positions import ORIGIN, Position
-from orchidwind.core.routing import Route
-from orchidwind.core.statements import (
+from orchidwind.elected.core.group_view import PrimaryReference
+from orchidwind.elected.core.ledger import claim_statement
+from orchidwind.elected.core.named_write import named_write_flow
+from orchidwind.elected.core.routing import Route
+from orchidwind.elected.core.statements import (
     TRANSACTION_IDLE,
     FloorMode,
     Outcome,
@@ -36,7 +34,7 @@
     RunResult,
     StatementRequest,
 )
-from orchidwind.core.steps import (
+from orchidwind.elected.core.steps import (
     BindTransaction,
     EndTransaction,
     Flow,
@@ -51,6 +49,8 @@
     Suspect,
     TakeRetry,
 )
+from orchidwind.shared.core.errors import ErrorKind, RequestError
+from orchidwind.shared.core.positions import ORIGIN, Position
 
 _READ_ATTEMPTS = 3
 
--- a/src/orchidwind/core/group_effects.py
+++ b/src/orchidwind/elected/core/group_effects.py
@@ -4,11 +4,11 @@
 
 from dataclasses import dataclass, field
 
-from orchidwind.core.commit_barrier import Acknowledge
-from orchidwind.core.polling import PollingSettings
-from orchidwind.core.pool import CloseConnection, OpenConnection
-from orchidwind.core.routing import RoutingSettings
-from orchidwind.core.statements import Outcome, Statement, StatementRequest
+from orchidwind.elected.core.commit_barrier import Acknowledge
+from orchidwind.elected.core.polling import PollingSettings
+from orchidwind.elected.core.routing import RoutingSettings
+from orchidwind.elected.core.statements import Outcome, Statement, StatementRequest
+from orchidwind.shared.core.pool import CloseConnection, OpenConnection
 
 TRANSACTION_IDLE_SECONDS = 60.0
 
--- a/src/orchidwind/core/group_view.py
+++ b/src/orchidwind/elected/core/group_view.py
@@ -6,7 +6,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from orchidwind.core.positions import ORIGIN, Position
+from orchidwind.shared.core.positions import ORIGIN, Position
 
 STALE_AFTER_SECONDS = 6.0
 _LOG_SAMPLES = 512
--- a/src/orchidwind/core/home_group.py
+++ b/src/orchidwind/elected/core/home_group.py
@@ -10,17 +10,15 @@
 from dataclasses import dataclass
 from itertools import count
 
-from orchidwind.core import flows, steps
-from orchidwind.core.admission import Refusal
-from orchidwind.core.commit_barrier import (
+from orchidwind.elected.core import flows, steps
+from orchidwind.elected.core.commit_barrier import (
     Acknowledge,
     BarrierDecision,
     CommitBarrier,
     Confirmed,
     PendingCommit,
 )
-from orchidwind.core.errors import BackendConnectionLost, ErrorKind, OrchidwindError, RequestError
-from orchidwind.core.group_effects import (
+from orchidwind.elected.core.group_effects import (
     AbandonConnection,
     CancelConnection,
     Finished,
@@ -31,14 +29,12 @@
     RunOnConnection,
     StillRunning,
 )
-from orchidwind.core.group_view import GroupView, InstanceReport, PrimaryReference
-from orchidwind.core.link_loss import may_commit
-from orchidwind.core.polling import StatusPoller
-from orchidwind.core.pool import CloseConnection, Grant, InstancePool, OpenConnection, PoolEffect
-from orchidwind.core.positions import Position
-from orchidwind.core.retry_budget import RetryBudget
-from orchidwind.core.routing import choose_read_route
-from orchidwind.core.statements import (
+from orchidwind.elected.core.group_view import GroupView, InstanceReport, PrimaryReference
+from orchidwind.elected.core.link_loss import may_commit
+from orchidwind.elected.core.polling import StatusPoller
+from orchidwind.elected.core.retry_budget import RetryBudget
+from orchidwind.elected.core.routing import choose_read_route
+from orchidwind.elected.core.statements import (
     TRANSACTION_FAILED,
     TRANSACTION_IDLE,
     ChannelKey,
@@ -49,7 +45,22 @@
     Statement,
     StatementRequest,
 )
-from orchidwind.core.steps import Flow, OpenTransaction, Step, StepResult
+from orchidwind.elected.core.steps import Flow, OpenTransaction, Step, StepResult
+from orchidwind.shared.core.admission import Refusal
+from orchidwind.shared.core.errors import (
+    BackendConnectionLost,
+    ErrorKind,
+    OrchidwindError,
+    RequestError,
+)
+from orchidwind.shared.core.pool import (
+    CloseConnection,
+    Grant,
+    InstancePool,
+    OpenConnection,
+    PoolEffect,
+)
+from orchidwind.shared.core.positions import Position
 
 _REPLAY_CHECK_SECONDS = 0.003
 _CONFIRM_SECONDS = 2.0
--- a/src/orchidwind/core/ledger.py
+++ b/src/orchidwind/elected/core/ledger.py
@@ -8,7 +8,7 @@
 
 import re
 
-from orchidwind.core.statements import Statement
+from orchidwind.elected.core.statements import Statement
 
 LEDGER_TABLE = "orchidwind_request_ledger"
 UNDEFINED_TABLE = "42P01"
--- a/src/orchidwind/core/link_loss.py
+++ b/src/orchidwind/elected/core/link_loss.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from orchidwind.core.errors import ErrorKind, RequestError
-from orchidwind.core.statements import Outcome, RequestKind, StatementRequest
+from orchidwind.elected.core.statements import Outcome, RequestKind, StatementRequest
+from orchidwind.shared.core.errors import ErrorKind, RequestError
 
 _COMMIT_WORDS = ("COMMIT", "END")
 
--- a/src/orchidwind/core/named_write.py
+++ b/src/orchidwind/elected/core/named_write.py
@@ -5,8 +5,7 @@
 from collections.abc import Generator
 from dataclasses import dataclass
 
-from orchidwind.core.errors import ErrorKind, RequestError
-from orchidwind.core.flow_parts import (
+from orchidwind.elected.core.flow_parts import (
     Lost,
     connect_primary,
     refused_by_replica,
@@ -14,17 +13,21 @@
     transaction_lost,
     write_lost,
 )
-from orchidwind.core.group_view import PrimaryReference
-from orchidwind.core.ledger import (
+from orchidwind.elected.core.group_view import PrimaryReference
+from orchidwind.elected.core.ledger import (
     CREATE_LEDGER,
     UNDEFINED_TABLE,
     claim_statement,
     complete_statement,
     lookup_statement,
 )
-from orchidwind.core.positions import Position
-from orchidwind.core.statements import TRANSACTION_IDLE, Outcome, RunResult, StatementRequest
-from orchidwind.core.steps import (
+from orchidwind.elected.core.statements import (
+    TRANSACTION_IDLE,
+    Outcome,
+    RunResult,
+    StatementRequest,
+)
+from orchidwind.elected.core.steps import (
     Flow,
     NeedConfirmation,
     Release,
@@ -33,6 +36,8 @@
     Suspect,
     TakeRetry,
 )
+from orchidwind.shared.core.errors import ErrorKind, RequestError
+from orchidwind.shared.core.positions import Position
 
 
 def named_write_flow(request: StatementRequest) -> Flow:
--- a/src/orchidwind/core/placement.py
+++ b/src/orchidwind/elected/core/placement.py
@@ -10,8 +10,8 @@
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass
 
-from orchidwind.core.configuration import DatabaseSettings, ZoneSettings
-from orchidwind.core.rendezvous import first, rank
+from orchidwind.elected.core.configuration import DatabaseSettings, ZoneSettings
+from orchidwind.shared.core.rendezvous import first, rank
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/orchidwind/core/routing.py
+++ b/src/orchidwind/elected/core/routing.py
@@ -5,8 +5,8 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from orchidwind.core.group_view import GroupView
-from orchidwind.core.positions import Position
+from orchidwind.elected.core.group_view import GroupView
+from orchidwind.shared.core.positions import Position
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/orchidwind/core/statements.py
+++ b/src/orchidwind/elected/core/statements.py
@@ -5,9 +5,9 @@
 from dataclasses import dataclass
 from enum import Enum, unique
 
-from orchidwind.core.admission import TrafficClass
-from orchidwind.core.errors import RequestError
-from orchidwind.core.positions import ORIGIN, Position
+from orchidwind.shared.core.admission import TrafficClass
+from orchidwind.shared.core.errors import RequestError
+from orchidwind.shared.core.positions import ORIGIN, Position
 
 TRANSACTION_IDLE = b"I"
 TRANSACTION_OPEN = b"T"
--- a/src/orchidwind/core/steps.py
+++ b/src/orchidwind/elected/core/steps.py
@@ -5,10 +5,10 @@
 from collections.abc import Generator
 from dataclasses import dataclass
 
-from orchidwind.core.group_view import PrimaryReference
-from orchidwind.core.positions import Position
-from orchidwind.core.routing import Route
-from orchidwind.core.statements import Outcome, RunResult, SessionSetting, Statement
+from orchidwind.elected.core.group_view import PrimaryReference
+from orchidwind.elected.core.routing import Route
+from orchidwind.elected.core.statements import Outcome, RunResult, SessionSetting, Statement
+from orchidwind.shared.core.positions import Position
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/orchidwind/daemon.py
+++ b/src/orchidwind/elected/daemon.py
@@ -6,30 +6,30 @@
 
 from tornado.httpserver import HTTPServer
 
-from orchidwind.core.errors import ErrorKind, RequestError
-from orchidwind.core.positions import format_lsn
-from orchidwind.logs import log_event
-from orchidwind.metrics import Metrics
-from orchidwind.network import operator_http
-from orchidwind.network.cluster import Cluster
-from orchidwind.network.front import FrontExecutor, FrontService
-from orchidwind.network.group_runner import GroupRunner
-from orchidwind.network.home_service import HomeService
-from orchidwind.network.link_server import LinkServer
-from orchidwind.network.operator_http import (
+from orchidwind.elected.metrics import Metrics
+from orchidwind.elected.network import operator_http
+from orchidwind.elected.network.cluster import Cluster
+from orchidwind.elected.network.front import FrontExecutor, FrontService
+from orchidwind.elected.network.group_runner import GroupRunner
+from orchidwind.elected.network.home_service import HomeService
+from orchidwind.elected.network.link_server import LinkServer
+from orchidwind.elected.network.operator_http import (
     DatabaseStatus,
     InstanceStatus,
     MemberStatus,
     Operated,
     ProxyStatus,
 )
-from orchidwind.network.platform_client import PlatformClient
-from orchidwind.network.platform_watch import PlatformWatch
-from orchidwind.postgres.executor import Executor, SessionParameters
-from orchidwind.postgres.listener import PostgresListener
-from orchidwind.postgres.scram import ScramVerifier
-from orchidwind.postgres.server_session import SessionHost
-from orchidwind.settings import ProxySettings
+from orchidwind.elected.network.platform_client import PlatformClient
+from orchidwind.elected.network.platform_watch import PlatformWatch
+from orchidwind.elected.postgres.executor import Executor, SessionParameters
+from orchidwind.elected.postgres.listener import PostgresListener
+from orchidwind.elected.postgres.scram import ScramVerifier
+from orchidwind.elected.postgres.server_session import SessionHost
+from orchidwind.shared.core.errors import ErrorKind, RequestError
+from orchidwind.shared.core.positions import format_lsn
+from orchidwind.shared.logs import log_event
+from orchidwind.shared.settings import ProxySettings
 
 _ANNOUNCE_SECONDS = 0.5
 _DRAIN_CHECK_SECONDS = 0.05
--- a/src/orchidwind/network/backend.py
+++ b/src/orchidwind/elected/network/backend.py
@@ -16,20 +16,20 @@
 from psycopg import pq
 from psycopg.pq.abc import PGconn, PGresult
 
-from orchidwind.core.errors import (
+from orchidwind.elected.core.statements import Column, Description, RunResult, Statement
+from orchidwind.elected.postgres.wire import codec
+from orchidwind.shared.core.errors import (
     BackendConnectionLost,
     BackendRefused,
     ErrorKind,
     RequestError,
 )
-from orchidwind.core.statements import Column, Description, RunResult, Statement
-from orchidwind.network.sockets import (
+from orchidwind.shared.sockets import (
     KEEPALIVE_IDLE_SECONDS,
     KEEPALIVE_INTERVAL_SECONDS,
     KEEPALIVE_PROBES,
     USER_TIMEOUT_MILLISECONDS,
 )
-from orchidwind.postgres.wire import codec
 
 _ROWS_A_CHUNK = 256
 _STATUS_BYTES = {
--- a/src/orchidwind/network/backend_state.py
+++ b/src/orchidwind/elected/network/backend_state.py
@@ -8,9 +8,9 @@
 
 import asyncio
 
-from orchidwind.core.errors import BackendRefused
-from orchidwind.core.statements import Statement
-from orchidwind.network.backend import BackendConnection, ConnectionTarget
+from orchidwind.elected.core.statements import Statement
+from orchidwind.elected.network.backend import BackendConnection, ConnectionTarget
+from orchidwind.shared.core.errors import BackendRefused
 
 # As long as any new connection to a database.
 _ASK_SECONDS = 2.0
--- a/src/orchidwind/network/cluster.py
+++ b/src/orchidwind/elected/network/cluster.py
@@ -8,29 +8,29 @@
 
 import msgspec
 
-from orchidwind.core.admission import TrafficClass
-from orchidwind.core.configuration import (
+from orchidwind.elected.core.configuration import (
     ClassMatcher,
     ConfigurationDocument,
     DatabaseSettings,
     OperatorFile,
 )
-from orchidwind.core.configuration_history import (
+from orchidwind.elected.core.configuration_history import (
     Adopt,
     ConfigurationHistory,
     FetchTurn,
     HistoryEffect,
 )
-from orchidwind.core.errors import PeerUnavailable
-from orchidwind.core.membership import Member, Membership, MemberState
-from orchidwind.core.placement import Node, Placement
-from orchidwind.core.slot_leases import LeaseAnswer
-from orchidwind.logs import log_event
-from orchidwind.network import codec
-from orchidwind.network.datagrams import MembershipService
-from orchidwind.network.front import Home
-from orchidwind.network.peer_link import PeerLink
-from orchidwind.settings import ProxySettings, parse_address
+from orchidwind.elected.core.membership import Member, Membership, MemberState
+from orchidwind.elected.core.placement import Node, Placement
+from orchidwind.elected.core.slot_leases import LeaseAnswer
+from orchidwind.elected.network import codec
+from orchidwind.elected.network.datagrams import MembershipService
+from orchidwind.elected.network.front import Home
+from orchidwind.elected.network.peer_link import PeerLink
+from orchidwind.shared.core.admission import TrafficClass
+from orchidwind.shared.core.errors import PeerUnavailable
+from orchidwind.shared.logs import log_event
+from orchidwind.shared.settings import ProxySettings, parse_address
 
 _VIEW_SETTLE_SECONDS = 0.05
 WATCHERS_A_ZONE = 2
--- a/src/orchidwind/network/codec.py
+++ b/src/orchidwind/elected/network/codec.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from orchidwind.core.membership import (
+from orchidwind.elected.core.membership import (
     Exchange,
     Member,
     MembershipMessage,
@@ -19,7 +19,7 @@
     ProbeAnswer,
     ProbeRequest,
 )
-from orchidwind.network.avro_records import (
+from orchidwind.shared.avro_records import (
     DECODE_FAULTS,
     DecodeError,
     encode_frame_record,
--- a/src/orchidwind/network/datagrams.py
+++ b/src/orchidwind/elected/network/datagrams.py
@@ -6,14 +6,14 @@
 from collections.abc import Callable, Iterable
 from typing import cast
 
-from orchidwind.core.membership import (
+from orchidwind.elected.core.membership import (
     Membership,
     MembershipEffect,
     PeerVersion,
     SendDatagram,
     ViewChanged,
 )
-from orchidwind.network import codec
+from orchidwind.elected.network import codec
 
 _SHORTEST_TIMER_SECONDS = 0.001
 
--- a/src/orchidwind/network/frame_stream.py
+++ b/src/orchidwind/elected/network/frame_stream.py
@@ -6,8 +6,8 @@
 
 from tornado.iostream import IOStream
 
-from orchidwind.network import codec
-from orchidwind.network.avro_records import FrameCutter
+from orchidwind.elected.network import codec
+from orchidwind.shared.avro_records import FrameCutter
 
 LINK_BUFFER_BYTES = 128 * 1024 * 1024
 _READ_BYTES = 256 * 1024
--- a/src/orchidwind/network/front.py
+++ b/src/orchidwind/elected/network/front.py
@@ -7,30 +7,28 @@
 from itertools import count
 from typing import Protocol
 
-from orchidwind.core.admission import TrafficClass
-from orchidwind.core.caller_session import (
+from orchidwind.elected.core.caller_session import (
     AskToken,
     CallerSession,
     Forward,
     LocalAnswer,
     Plan,
 )
-from orchidwind.core.errors import ErrorKind, PeerUnavailable, RequestError
-from orchidwind.core.home_group import STILL_RUNNING_SECONDS
-from orchidwind.core.link_loss import after_link_loss
-from orchidwind.core.statements import (
+from orchidwind.elected.core.home_group import STILL_RUNNING_SECONDS
+from orchidwind.elected.core.link_loss import after_link_loss
+from orchidwind.elected.core.statements import (
     ChannelKey,
     Column,
     Outcome,
     RequestKind,
     StatementRequest,
 )
-from orchidwind.network import codec
-from orchidwind.network.backend import AnswerPort
-from orchidwind.network.home_service import HomeService
-from orchidwind.network.link_messages import from_answer, from_records, to_execute
-from orchidwind.network.peer_link import PeerLink
-from orchidwind.postgres.executor import (
+from orchidwind.elected.network import codec
+from orchidwind.elected.network.backend import AnswerPort
+from orchidwind.elected.network.home_service import HomeService
+from orchidwind.elected.network.link_messages import from_answer, from_records, to_execute
+from orchidwind.elected.network.peer_link import PeerLink
+from orchidwind.elected.postgres.executor import (
     Description,
     Executor,
     NullSink,
@@ -38,7 +36,9 @@
     SessionParameters,
     Statement,
 )
-from orchidwind.postgres.wire import codec as message_codec
+from orchidwind.elected.postgres.wire import codec as message_codec
+from orchidwind.shared.core.admission import TrafficClass
+from orchidwind.shared.core.errors import ErrorKind, PeerUnavailable, RequestError
 
 _TEXT_OID = 25
 _RETRY_SECONDS = 0.05
--- a/src/orchidwind/network/group_runner.py
+++ b/src/orchidwind/elected/network/group_runner.py
@@ -8,9 +8,8 @@
 from collections.abc import Callable, Coroutine, Iterable
 from typing import Any, Protocol
 
-from orchidwind.core.configuration import DatabaseSettings
-from orchidwind.core.errors import BackendConnectionLost, BackendRefused
-from orchidwind.core.group_effects import (
+from orchidwind.elected.core.configuration import DatabaseSettings
+from orchidwind.elected.core.group_effects import (
     AbandonConnection,
     CancelConnection,
     Finished,
@@ -21,17 +20,18 @@
     RunOnConnection,
     StillRunning,
 )
-from orchidwind.core.group_view import InstanceReport
-from orchidwind.core.home_group import HomeGroup
-from orchidwind.core.pool import CloseConnection, OpenConnection
-from orchidwind.core.routing import RoutingSettings
-from orchidwind.core.slot_leases import LeaseAnswer, SlotLeases
-from orchidwind.core.statements import ChannelKey, Column, Outcome, StatementRequest
-from orchidwind.logs import log_event
-from orchidwind.network.backend import AnswerPort, BackendConnection, ConnectionTarget
-from orchidwind.network.backend_state import still_runs
-from orchidwind.network.observer import Observer
-from orchidwind.silence import ConnectionKind, SilentConnection, log_silent
+from orchidwind.elected.core.group_view import InstanceReport
+from orchidwind.elected.core.home_group import HomeGroup
+from orchidwind.elected.core.routing import RoutingSettings
+from orchidwind.elected.core.slot_leases import LeaseAnswer, SlotLeases
+from orchidwind.elected.core.statements import ChannelKey, Column, Outcome, StatementRequest
+from orchidwind.elected.network.backend import AnswerPort, BackendConnection, ConnectionTarget
+from orchidwind.elected.network.backend_state import still_runs
+from orchidwind.elected.network.observer import Observer
+from orchidwind.shared.core.errors import BackendConnectionLost, BackendRefused
+from orchidwind.shared.core.pool import CloseConnection, OpenConnection
+from orchidwind.shared.logs import log_event
+from orchidwind.shared.silence import ConnectionKind, SilentConnection, log_silent
 
 _CONNECT_SECONDS = 2.0
 _STALLED_SECONDS = 2.0
--- a/src/orchidwind/network/home_service.py
+++ b/src/orchidwind/elected/network/home_service.py
@@ -5,13 +5,13 @@
 import asyncio
 from itertools import count
 
-from orchidwind.core.configuration import DatabaseSettings, OperatorFile
-from orchidwind.core.errors import ErrorKind, RequestError
-from orchidwind.core.placement import Node, Placement
-from orchidwind.core.slot_leases import LeaseAnswer
-from orchidwind.core.statements import ChannelKey, Outcome, StatementRequest
-from orchidwind.network.backend import AnswerPort
-from orchidwind.network.group_runner import GroupRunner, LeasePort, OnFinished
+from orchidwind.elected.core.configuration import DatabaseSettings, OperatorFile
+from orchidwind.elected.core.placement import Node, Placement
+from orchidwind.elected.core.slot_leases import LeaseAnswer
+from orchidwind.elected.core.statements import ChannelKey, Outcome, StatementRequest
+from orchidwind.elected.network.backend import AnswerPort
+from orchidwind.elected.network.group_runner import GroupRunner, LeasePort, OnFinished
+from orchidwind.shared.core.errors import ErrorKind, RequestError
 
 _LOOK_AGAIN_SECONDS = 1.0
 
--- a/src/orchidwind/network/link_messages.py
+++ b/src/orchidwind/elected/network/link_messages.py
@@ -2,10 +2,7 @@
 
 from __future__ import annotations
 
-from orchidwind.core.admission import TrafficClass
-from orchidwind.core.errors import ErrorKind, RequestError
-from orchidwind.core.positions import Position
-from orchidwind.core.statements import (
+from orchidwind.elected.core.statements import (
     ChannelKey,
     Column,
     Description,
@@ -17,7 +14,10 @@
     Statement,
     StatementRequest,
 )
-from orchidwind.network import codec
+from orchidwind.elected.network import codec
+from orchidwind.shared.core.admission import TrafficClass
+from orchidwind.shared.core.errors import ErrorKind, RequestError
+from orchidwind.shared.core.positions import Position
 
 
 def to_execute(request: StatementRequest, now: float) -> codec.Execute:
--- a/src/orchidwind/network/link_server.py
+++ b/src/orchidwind/elected/network/link_server.py
@@ -14,14 +14,14 @@
 from tornado.iostream import IOStream, StreamClosedError
 from tornado.tcpserver import TCPServer
 
-from orchidwind.core.statements import ChannelKey, Column, Outcome
-from orchidwind.logs import log_event
-from orchidwind.network import codec
-from orchidwind.network.backend import AnswerPort
-from orchidwind.network.frame_stream import LINK_BUFFER_BYTES, FrameStream
-from orchidwind.network.home_service import HomeService
-from orchidwind.network.link_messages import from_execute, to_answer, to_records
-from orchidwind.network.sockets import watchful
+from orchidwind.elected.core.statements import ChannelKey, Column, Outcome
+from orchidwind.elected.network import codec
+from orchidwind.elected.network.backend import AnswerPort
+from orchidwind.elected.network.frame_stream import LINK_BUFFER_BYTES, FrameStream
+from orchidwind.elected.network.home_service import HomeService
+from orchidwind.elected.network.link_messages import from_execute, to_answer, to_records
+from orchidwind.shared.logs import log_event
+from orchidwind.shared.sockets import watchful
 
 _WINDOW_BYTES = 512 * 1024
 _GATHERED_BYTES = 32 * 1024
--- a/src/orchidwind/network/observer.py
+++ b/src/orchidwind/elected/network/observer.py
@@ -4,9 +4,9 @@
 
 from dataclasses import dataclass
 
-from orchidwind.core.errors import BackendRefused
-from orchidwind.core.positions import Position, parse_lsn
-from orchidwind.network.backend import BackendConnection, ConnectionTarget
+from orchidwind.elected.network.backend import BackendConnection, ConnectionTarget
+from orchidwind.shared.core.errors import BackendRefused
+from orchidwind.shared.core.positions import Position, parse_lsn
 
 STATUS_QUERY = (
     "SELECT pg_is_in_recovery() AS r,"
--- a/src/orchidwind/network/peer_link.py
+++ b/src/orchidwind/elected/network/peer_link.py
@@ -12,12 +12,12 @@
 from tornado.iostream import IOStream, StreamClosedError
 from tornado.tcpclient import TCPClient
 
-from orchidwind.core.errors import PeerUnavailable
-from orchidwind.network import codec
-from orchidwind.network.frame_stream import LINK_BUFFER_BYTES, FrameStream
-from orchidwind.network.link_silence import LinkActions, LinkSilence
-from orchidwind.network.sockets import watchful
-from orchidwind.silence import ConnectionKind, SilentConnection, log_silent
+from orchidwind.elected.network import codec
+from orchidwind.elected.network.frame_stream import LINK_BUFFER_BYTES, FrameStream
+from orchidwind.elected.network.link_silence import LinkActions, LinkSilence
+from orchidwind.shared.core.errors import PeerUnavailable
+from orchidwind.shared.silence import ConnectionKind, SilentConnection, log_silent
+from orchidwind.shared.sockets import watchful
 
 _CONNECT_SECONDS = 1.0
 
--- a/src/orchidwind/network/platform_client.py
+++ b/src/orchidwind/elected/network/platform_client.py
@@ -8,8 +8,8 @@
 import msgspec
 from tornado.httpclient import AsyncHTTPClient, HTTPClientError, HTTPRequest
 
-from orchidwind.core.configuration import ConfigurationDocument, OperatorFile
-from orchidwind.core.errors import PlatformConflict, PlatformError, PlatformVersionGone
+from orchidwind.elected.core.configuration import ConfigurationDocument, OperatorFile
+from orchidwind.shared.core.errors import PlatformConflict, PlatformError, PlatformVersionGone
 
 OBJECT_NAME = "configuration"
 _REQUEST_SECONDS = 3.0
--- a/src/orchidwind/network/platform_watch.py
+++ b/src/orchidwind/elected/network/platform_watch.py
@@ -5,11 +5,11 @@
 import asyncio
 import random
 
-from orchidwind.core.errors import PlatformError, PlatformVersionGone
-from orchidwind.logs import log_event
-from orchidwind.metrics import Metrics
-from orchidwind.network.cluster import Cluster
-from orchidwind.network.platform_client import ConfigurationObject, PlatformClient
+from orchidwind.elected.metrics import Metrics
+from orchidwind.elected.network.cluster import Cluster
+from orchidwind.elected.network.platform_client import ConfigurationObject, PlatformClient
+from orchidwind.shared.core.errors import PlatformError, PlatformVersionGone
+from orchidwind.shared.logs import log_event
 
 _FIRST_READ_AFTER_SECONDS = 1.0
 _ROLE_CHECK_SECONDS = 0.5
--- a/src/orchidwind/postgres/executor.py
+++ b/src/orchidwind/elected/postgres/executor.py
@@ -5,7 +5,7 @@
 from abc import ABC, abstractmethod
 from dataclasses import dataclass, field
 
-from orchidwind.core.statements import TRANSACTION_IDLE, Column, Description, Statement
+from orchidwind.elected.core.statements import TRANSACTION_IDLE, Column, Description, Statement
 
 __all__ = ["Description", "Executor", "NullSink", "ResultSink", "SessionParameters", "Statement"]
 
--- a/src/orchidwind/postgres/listener.py
+++ b/src/orchidwind/elected/postgres/listener.py
@@ -7,9 +7,9 @@
 from tornado.iostream import IOStream
 from tornado.tcpserver import TCPServer
 
-from orchidwind.core.errors import ErrorKind, RequestError
-from orchidwind.network.sockets import watchful
-from orchidwind.postgres.server_session import ServerSession, SessionHost, encode_error
+from orchidwind.elected.postgres.server_session import ServerSession, SessionHost, encode_error
+from orchidwind.shared.core.errors import ErrorKind, RequestError
+from orchidwind.shared.sockets import watchful
 
 MAXIMUM_PROCESS_ID = 2**31 - 1
 
--- a/src/orchidwind/postgres/output.py
+++ b/src/orchidwind/elected/postgres/output.py
@@ -4,11 +4,11 @@
 
 from tornado.iostream import IOStream
 
-from orchidwind.core.errors import ErrorKind, RequestError
-from orchidwind.postgres import wire
-from orchidwind.postgres.executor import ResultSink
-from orchidwind.postgres.portals import Portal
-from orchidwind.postgres.wire import Column, codec
+from orchidwind.elected.postgres import wire
+from orchidwind.elected.postgres.executor import ResultSink
+from orchidwind.elected.postgres.portals import Portal
+from orchidwind.elected.postgres.wire import Column, codec
+from orchidwind.shared.core.errors import ErrorKind, RequestError
 
 _WRITE_HIGH_WATER_BYTES = 256 * 1024
 _SUSPENDED_ROWS_LIMIT = 10_000
--- a/src/orchidwind/postgres/portals.py
+++ b/src/orchidwind/elected/postgres/portals.py
@@ -4,9 +4,9 @@
 
 from dataclasses import dataclass, field
 
-from orchidwind.core.errors import ErrorKind, RequestError
-from orchidwind.postgres.executor import Description, Statement
-from orchidwind.postgres.wire import codec
+from orchidwind.elected.postgres.executor import Description, Statement
+from orchidwind.elected.postgres.wire import codec
+from orchidwind.shared.core.errors import ErrorKind, RequestError
 
 MAXIMUM_PREPARED_STATEMENTS = 2_000
 _OID_MASK = 0xFFFFFFFF  # the codec reads type identifiers as signed
--- a/src/orchidwind/postgres/server_session.py
+++ b/src/orchidwind/elected/postgres/server_session.py
@@ -16,20 +16,20 @@
 
 from tornado.iostream import IOStream, StreamClosedError
 
-from orchidwind.core.errors import ErrorKind, RequestError
-from orchidwind.postgres import wire
-from orchidwind.postgres.executor import (
+from orchidwind.elected.postgres import wire
+from orchidwind.elected.postgres.executor import (
     Description,
     Executor,
     NullSink,
     SessionParameters,
     Statement,
 )
-from orchidwind.postgres.output import OutputBuffer, PortalSink, StreamSink
-from orchidwind.postgres.portals import Portal, PortalTable
-from orchidwind.postgres.scram import MECHANISM, ScramExchange, ScramVerifier
-from orchidwind.postgres.startup import session_parameters
-from orchidwind.postgres.wire import codec
+from orchidwind.elected.postgres.output import OutputBuffer, PortalSink, StreamSink
+from orchidwind.elected.postgres.portals import Portal, PortalTable
+from orchidwind.elected.postgres.scram import MECHANISM, ScramExchange, ScramVerifier
+from orchidwind.elected.postgres.startup import session_parameters
+from orchidwind.elected.postgres.wire import codec
+from orchidwind.shared.core.errors import ErrorKind, RequestError
 
 _READ_BYTES = 64 * 1024
 _LOGIN_SECONDS = 10.0
--- a/src/orchidwind/postgres/startup.py
+++ b/src/orchidwind/elected/postgres/startup.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from orchidwind.postgres import wire
-from orchidwind.postgres.executor import SessionParameters
+from orchidwind.elected.postgres import wire
+from orchidwind.elected.postgres.executor import SessionParameters
 
 
 def session_parameters(parameters: dict[str, str]) -> SessionParameters:
--- a/src/orchidwind/postgres/wire.py
+++ b/src/orchidwind/elected/postgres/wire.py
@@ -12,7 +12,7 @@
 from pg_mimic import messages as codec
 from pg_mimic.types import unpack_int32
 
-from orchidwind.core.statements import (
+from orchidwind.elected.core.statements import (
     TRANSACTION_FAILED,
     TRANSACTION_IDLE,
     TRANSACTION_OPEN,
--- a/src/orchidwind/platform/callers.py
+++ b/src/orchidwind/platform/callers.py
@@ -7,14 +7,14 @@
 from tornado.iostream import IOStream, StreamClosedError
 from tornado.tcpserver import TCPServer
 
-from orchidwind.core.errors import ErrorKind, RequestError
-from orchidwind.core.managed.commands import Command, TransactionState
-from orchidwind.logs import log_event
-from orchidwind.managed.executor import SessionExecutor
-from orchidwind.managed.node import ManagedNode
-from orchidwind.managed.sessions import SessionRegistry
-from orchidwind.network.sockets import watchful
 from orchidwind.platform import wire
+from orchidwind.promoted.callers.executor import SessionExecutor
+from orchidwind.promoted.callers.sessions import SessionRegistry
+from orchidwind.promoted.core.commands import Command, TransactionState
+from orchidwind.promoted.node import ManagedNode
+from orchidwind.shared.core.errors import ErrorKind, RequestError
+from orchidwind.shared.logs import log_event
+from orchidwind.shared.sockets import watchful
 
 _READ_BYTES = 65536
 _PREPARED_SECONDS = 1.5
--- a/src/orchidwind/platform/coordination.py
+++ b/src/orchidwind/platform/coordination.py
@@ -9,11 +9,6 @@
 
 import msgspec
 
-from orchidwind.core.managed.homes import ProxyMember
-from orchidwind.core.managed.promotion_lock import LockRecord
-from orchidwind.core.managed.roster import PromotionRecord, Roster
-from orchidwind.core.positions import Position
-from orchidwind.managed.ports import LeaseConfirmation
 from orchidwind.platform.store import (
     CALL_SECONDS,
     OBJECTS,
@@ -23,6 +18,11 @@
     decode,
     read_all,
 )
+from orchidwind.promoted.core.homes import ProxyMember
+from orchidwind.promoted.core.promotion_lock import LockRecord
+from orchidwind.promoted.core.roster import PromotionRecord, Roster
+from orchidwind.promoted.ports import LeaseConfirmation
+from orchidwind.shared.core.positions import Position
 
 _LOCKS = "promotion-locks"
 _LOCK_NAME = "promotions"
--- a/src/orchidwind/network/http_call.py
+++ b/src/orchidwind/platform/http_call.py
@@ -16,8 +16,8 @@
 )
 from tornado.iostream import IOStream, StreamClosedError
 
-from orchidwind.core.errors import OrchidwindError
-from orchidwind.network.sockets import client_socket
+from orchidwind.shared.core.errors import OrchidwindError
+from orchidwind.shared.sockets import client_socket
 
 _MAXIMUM_BODY_BYTES = 64 * 1024 * 1024
 # An answer that is arriving is waited for until nothing came for so long. A window of 64 KB takes
--- a/src/orchidwind/platform/instances.py
+++ b/src/orchidwind/platform/instances.py
@@ -8,12 +8,12 @@
 
 from tornado.iostream import IOStream, StreamClosedError
 
-from orchidwind.core.errors import BackendConnectionLost, BackendRefused
-from orchidwind.core.managed.commands import InstanceMessage, InstanceStatus, Reply, ReplyCode
-from orchidwind.core.managed.configuration import DirectoryEntry
-from orchidwind.managed.connections import CONNECTION_LIMIT_MET, OTHER_INSTANCE
-from orchidwind.network.sockets import client_socket
 from orchidwind.platform import wire
+from orchidwind.promoted.core.commands import InstanceMessage, InstanceStatus, Reply, ReplyCode
+from orchidwind.promoted.core.configuration import DirectoryEntry
+from orchidwind.promoted.group.connections import CONNECTION_LIMIT_MET, OTHER_INSTANCE
+from orchidwind.shared.core.errors import BackendConnectionLost, BackendRefused
+from orchidwind.shared.sockets import client_socket
 
 _READ_BYTES = 65536
 _OTHER_REFUSAL = "08004"
--- a/src/orchidwind/platform/main.py
+++ b/src/orchidwind/platform/main.py
@@ -13,14 +13,6 @@
 from tornado.httpserver import HTTPServer
 from tornado.httputil import HTTPHeaders, HTTPServerRequest, ResponseStartLine
 
-from orchidwind.core.errors import SettingsError
-from orchidwind.core.managed.homes import ProxyMember
-from orchidwind.logs import configure_logging, log_event
-from orchidwind.managed.following import NodeBounds
-from orchidwind.managed.metrics import ManagedMetrics
-from orchidwind.managed.node import ManagedNode
-from orchidwind.managed.ports import NodePorts
-from orchidwind.network.peer_streams import PeerListener, PeerStreamConnector
 from orchidwind.platform.callers import CallerListener
 from orchidwind.platform.coordination import (
     LeaseObjects,
@@ -40,7 +32,15 @@
     load_platform_settings,
 )
 from orchidwind.platform.store import MILLISECONDS, ObjectStore, WatchedKind
-from orchidwind.settings import parse_address
+from orchidwind.promoted.core.homes import ProxyMember
+from orchidwind.promoted.metrics import ManagedMetrics
+from orchidwind.promoted.node import ManagedNode
+from orchidwind.promoted.peers.peer_streams import PeerListener, PeerStreamConnector
+from orchidwind.promoted.ports import NodePorts
+from orchidwind.promoted.views.following import NodeBounds
+from orchidwind.shared.core.errors import SettingsError
+from orchidwind.shared.logs import configure_logging, log_event
+from orchidwind.shared.settings import parse_address
 
 READY_PATH = "/orchidwind/ready"
 METRICS_PATH = "/metrics"
--- a/src/orchidwind/platform/promotions.py
+++ b/src/orchidwind/platform/promotions.py
@@ -4,9 +4,9 @@
 
 import msgspec
 
-from orchidwind.core.managed.failover_steps import PromotionAnswer
-from orchidwind.network.http_call import HttpCallFailed, HttpRequest, http_call
-from orchidwind.silence import ConnectionKind, OnSilent, SilentConnection, log_silent
+from orchidwind.platform.http_call import HttpCallFailed, HttpRequest, http_call
+from orchidwind.promoted.core.failover_steps import PromotionAnswer
+from orchidwind.shared.silence import ConnectionKind, OnSilent, SilentConnection, log_silent
 
 _PATH = "/promotions"
 _HOLDER = "Duty-Holder"
--- a/src/orchidwind/platform/published.py
+++ b/src/orchidwind/platform/published.py
@@ -7,14 +7,14 @@
 
 import msgspec
 
-from orchidwind.core.managed.configuration import (
+from orchidwind.platform.store import MILLISECONDS, StoredObject, decode
+from orchidwind.promoted.core.configuration import (
     DirectoryEntry,
     ManagedConfiguration,
     ManagedDatabase,
     ManagedGroupSettings,
     ReadConsistency,
 )
-from orchidwind.platform.store import MILLISECONDS, StoredObject, decode
 
 _INSTANCES = "servers"
 _CONFIGURATION = "config"
--- a/src/orchidwind/platform/settings.py
+++ b/src/orchidwind/platform/settings.py
@@ -6,9 +6,9 @@
 
 import msgspec
 
-from orchidwind.core.checked_decoding import decode_checked
-from orchidwind.core.errors import SettingsError
-from orchidwind.settings import parse_address
+from orchidwind.shared.core.checked_decoding import decode_checked
+from orchidwind.shared.core.errors import SettingsError
+from orchidwind.shared.settings import parse_address
 
 SETTINGS_VARIABLE = "ORCHIDWIND_SETTINGS"
 
--- a/src/orchidwind/platform/store.py
+++ b/src/orchidwind/platform/store.py
@@ -13,17 +13,17 @@
 
 import msgspec
 
-from orchidwind.core.errors import (
+from orchidwind.platform.http_call import HttpAnswer, HttpCallFailed, HttpRequest, http_call
+from orchidwind.promoted.ports import Changes, Listing
+from orchidwind.shared.core.errors import (
     PlatformConflict,
     PlatformError,
     PlatformMissing,
     PlatformUncertain,
     PlatformVersionGone,
 )
-from orchidwind.logs import log_event
-from orchidwind.managed.ports import Changes, Listing
-from orchidwind.network.http_call import HttpAnswer, HttpCallFailed, HttpRequest, http_call
-from orchidwind.silence import ConnectionKind, OnSilent, SilentConnection, log_silent
+from orchidwind.shared.logs import log_event
+from orchidwind.shared.silence import ConnectionKind, OnSilent, SilentConnection, log_silent
 
 # A call that changes or reads one object: the store answers in 4 ms, or in 0.4 s slowed a
 # hundredfold.
--- a/src/orchidwind/platform/wire.py
+++ b/src/orchidwind/platform/wire.py
@@ -8,8 +8,7 @@
 
 from dataclasses import dataclass
 
-from orchidwind.core.errors import ErrorKind, OrchidwindError, RequestError
-from orchidwind.core.managed.commands import (
+from orchidwind.promoted.core.commands import (
     Command,
     CommandKind,
     CommandResult,
@@ -22,7 +21,8 @@
     ReplyCode,
     TransactionState,
 )
-from orchidwind.core.positions import Position
+from orchidwind.shared.core.errors import ErrorKind, OrchidwindError, RequestError
+from orchidwind.shared.core.positions import Position
 
 ENCODING = "latin-1"
 MAXIMUM_MESSAGE_BYTES = 1024 * 1024
--- a/src/orchidwind/managed/command_runner.py
+++ b/src/orchidwind/promoted/callers/command_runner.py
@@ -6,14 +6,13 @@
 import random
 from dataclasses import dataclass
 
-from orchidwind.core.admission import TrafficClass
-from orchidwind.core.errors import BackendConnectionLost, ErrorKind, RequestError
-from orchidwind.core.managed.commands import CommandResult, MessageKind
-from orchidwind.core.managed.configuration import ManagedDatabase
-from orchidwind.core.managed.flow_parts import CommandContext
-from orchidwind.core.managed.flows import command_flow
-from orchidwind.core.managed.session import ManagedSession
-from orchidwind.core.managed.steps import (
+from orchidwind.promoted.callers.driving import drive
+from orchidwind.promoted.core.commands import CommandResult, MessageKind
+from orchidwind.promoted.core.configuration import ManagedDatabase
+from orchidwind.promoted.core.flow_parts import CommandContext
+from orchidwind.promoted.core.flows import command_flow
+from orchidwind.promoted.core.session import ManagedSession
+from orchidwind.promoted.core.steps import (
     Exchange,
     NeedConnection,
     NeedPrimary,
@@ -24,8 +23,9 @@
     Step,
     StepResult,
 )
-from orchidwind.managed.driving import drive
-from orchidwind.managed.group_service import GroupService
+from orchidwind.promoted.group.group_service import GroupService
+from orchidwind.shared.core.admission import TrafficClass
+from orchidwind.shared.core.errors import BackendConnectionLost, ErrorKind, RequestError
 
 _QUEUE_BOUND = 400
 _HIGHEST_WEIGHT = 8.0
--- a/src/orchidwind/managed/driving.py
+++ b/src/orchidwind/promoted/callers/driving.py
@@ -5,7 +5,7 @@
 from collections.abc import Awaitable, Callable, Generator
 from typing import TypeVar
 
-from orchidwind.core.errors import OrchidwindError
+from orchidwind.shared.core.errors import OrchidwindError
 
 Step = TypeVar("Step")
 Outcome = TypeVar("Outcome")
--- a/src/orchidwind/managed/executor.py
+++ b/src/orchidwind/promoted/callers/executor.py
@@ -5,21 +5,21 @@
 import asyncio
 from typing import Protocol
 
-from orchidwind.core.errors import ANSWERS, ErrorKind, RequestError
-from orchidwind.core.managed.answers import transaction_lost
-from orchidwind.core.managed.commands import (
+from orchidwind.promoted.callers.command_runner import CommandRunner, TimeLimits
+from orchidwind.promoted.core.answers import transaction_lost
+from orchidwind.promoted.core.commands import (
     Command,
     CommandKind,
     CommandResult,
     TransactionState,
 )
-from orchidwind.core.managed.configuration import ManagedDatabase
-from orchidwind.core.managed.flow_parts import CommandContext
-from orchidwind.core.managed.session import ManagedSession, OpenTransaction
-from orchidwind.logs import log_event
-from orchidwind.managed.command_runner import CommandRunner, TimeLimits
-from orchidwind.managed.forwarding import CommandForwarder, Homes
-from orchidwind.managed.group_service import GroupService
+from orchidwind.promoted.core.configuration import ManagedDatabase
+from orchidwind.promoted.core.flow_parts import CommandContext
+from orchidwind.promoted.core.session import ManagedSession, OpenTransaction
+from orchidwind.promoted.group.group_service import GroupService
+from orchidwind.promoted.peers.forwarding import CommandForwarder, Homes
+from orchidwind.shared.core.errors import ANSWERS, ErrorKind, RequestError
+from orchidwind.shared.logs import log_event
 
 _LOGGED_ATTEMPTS = 6
 _HOLD_SHARE = 0.5
--- a/src/orchidwind/managed/sessions.py
+++ b/src/orchidwind/promoted/callers/sessions.py
@@ -5,7 +5,7 @@
 import asyncio
 from typing import Protocol
 
-from orchidwind.logs import log_event
+from orchidwind.shared.logs import log_event
 
 ACCEPT_SECONDS = 2.6
 _STEP_SECONDS = 0.05
--- /dev/null
+++ b/src/orchidwind/promoted/core/__init__.py
@@ -0,0 +1,1 @@
+"""Decisions of promoted groups; no input or output, no clock."""
--- a/src/orchidwind/core/managed/answers.py
+++ b/src/orchidwind/promoted/core/answers.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from orchidwind.core.errors import ErrorKind, RequestError
-from orchidwind.core.managed.commands import Reply, ReplyCode
+from orchidwind.promoted.core.commands import Reply, ReplyCode
+from orchidwind.shared.core.errors import ErrorKind, RequestError
 
 _REPORTED: dict[ReplyCode, ErrorKind] = {
     ReplyCode.BUSY: ErrorKind.OVERLOADED,
--- a/src/orchidwind/core/managed/commands.py
+++ b/src/orchidwind/promoted/core/commands.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from enum import Enum, unique
 
-from orchidwind.core.positions import Position
+from orchidwind.shared.core.positions import Position
 
 
 @unique
--- a/src/orchidwind/core/managed/failover.py
+++ b/src/orchidwind/promoted/core/failover.py
@@ -35,8 +35,8 @@
 from collections.abc import Generator, Mapping
 from dataclasses import dataclass, replace
 
-from orchidwind.core.managed.commands import InstanceRole, InstanceStatus
-from orchidwind.core.managed.failover_choice import (
+from orchidwind.promoted.core.commands import InstanceRole, InstanceStatus
+from orchidwind.promoted.core.failover_choice import (
     choose_candidate,
     holds,
     leader_of,
@@ -44,7 +44,7 @@
     newest_led_term,
     report_choice,
 )
-from orchidwind.core.managed.failover_steps import (
+from orchidwind.promoted.core.failover_steps import (
     AskAll,
     AwaitRevocation,
     ChoiceReport,
--- a/src/orchidwind/core/managed/failover_choice.py
+++ b/src/orchidwind/promoted/core/failover_choice.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from orchidwind.core.managed.commands import InstanceRole, InstanceStatus
-from orchidwind.core.managed.failover_steps import ChoiceReport, FailoverPlan, Statuses
-from orchidwind.core.positions import Position
+from orchidwind.promoted.core.commands import InstanceRole, InstanceStatus
+from orchidwind.promoted.core.failover_steps import ChoiceReport, FailoverPlan, Statuses
+from orchidwind.shared.core.positions import Position
 
 
 def holds(log_end: Position, wanted: Position) -> bool:
--- a/src/orchidwind/core/managed/failover_steps.py
+++ b/src/orchidwind/promoted/core/failover_steps.py
@@ -6,10 +6,10 @@
 from dataclasses import dataclass
 from enum import Enum, unique
 
-from orchidwind.core.errors import OrchidwindError
-from orchidwind.core.managed.commands import InstanceStatus
-from orchidwind.core.managed.roster import PromotionRecord
-from orchidwind.core.positions import Position
+from orchidwind.promoted.core.commands import InstanceStatus
+from orchidwind.promoted.core.roster import PromotionRecord
+from orchidwind.shared.core.errors import OrchidwindError
+from orchidwind.shared.core.positions import Position
 
 
 @unique
--- a/src/orchidwind/core/managed/flow_parts.py
+++ b/src/orchidwind/promoted/core/flow_parts.py
@@ -5,12 +5,8 @@
 from collections.abc import Generator
 from dataclasses import dataclass, field, replace
 
-from orchidwind.core.errors import (
-    BackendConnectionLost,
-    ProofMissing,
-)
-from orchidwind.core.managed.answers import reported
-from orchidwind.core.managed.commands import (
+from orchidwind.promoted.core.answers import reported
+from orchidwind.promoted.core.commands import (
     Command,
     CommandKind,
     InstanceMessage,
@@ -18,10 +14,10 @@
     Reply,
     ReplyCode,
 )
-from orchidwind.core.managed.configuration import ManagedDatabase
-from orchidwind.core.managed.group import GroupState
-from orchidwind.core.managed.session import ManagedSession
-from orchidwind.core.managed.steps import (
+from orchidwind.promoted.core.configuration import ManagedDatabase
+from orchidwind.promoted.core.group import GroupState
+from orchidwind.promoted.core.session import ManagedSession
+from orchidwind.promoted.core.steps import (
     Exchange,
     ExchangeResult,
     NeedConnection,
@@ -33,7 +29,11 @@
     Step,
     StepResult,
 )
-from orchidwind.core.managed.topology import PrimaryView, ReadPlan
+from orchidwind.promoted.core.topology import PrimaryView, ReadPlan
+from orchidwind.shared.core.errors import (
+    BackendConnectionLost,
+    ProofMissing,
+)
 
 BUSY_PAUSE_SECONDS = 0.015
 # Up to 0.12 s: a full queue of the first users' instances takes 0.1 to 0.3 s to run empty.
--- a/src/orchidwind/core/managed/flows.py
+++ b/src/orchidwind/promoted/core/flows.py
@@ -11,16 +11,13 @@
 
 from __future__ import annotations
 
-from orchidwind.core.errors import (
-    BackendConnectionLost,
-)
-from orchidwind.core.managed.answers import write_in_doubt
-from orchidwind.core.managed.commands import (
+from orchidwind.promoted.core.answers import write_in_doubt
+from orchidwind.promoted.core.commands import (
     CommandKind,
     CommandResult,
     TransactionState,
 )
-from orchidwind.core.managed.flow_parts import (
+from orchidwind.promoted.core.flow_parts import (
     CommandContext,
     after_failed_read,
     after_refused_write,
@@ -31,15 +28,18 @@
     statement_messages,
     with_floor,
 )
-from orchidwind.core.managed.steps import (
+from orchidwind.promoted.core.steps import (
     Flow,
     Release,
 )
-from orchidwind.core.managed.transaction_flows import (
+from orchidwind.promoted.core.transaction_flows import (
     commit_flow,
     rollback_flow,
     transaction_flow,
 )
+from orchidwind.shared.core.errors import (
+    BackendConnectionLost,
+)
 
 
 def command_flow(context: CommandContext) -> Flow:
--- a/src/orchidwind/core/managed/group.py
+++ b/src/orchidwind/promoted/core/group.py
@@ -5,10 +5,10 @@
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass, field
 
-from orchidwind.core.managed.commands import InstanceMessage, MessageKind, PreparedStatement
-from orchidwind.core.managed.configuration import ManagedGroupSettings
-from orchidwind.core.managed.topology import GroupTopology
-from orchidwind.core.positions import Position
+from orchidwind.promoted.core.commands import InstanceMessage, MessageKind, PreparedStatement
+from orchidwind.promoted.core.configuration import ManagedGroupSettings
+from orchidwind.promoted.core.topology import GroupTopology
+from orchidwind.shared.core.positions import Position
 
 
 @dataclass(slots=True)
--- a/src/orchidwind/core/managed/homes.py
+++ b/src/orchidwind/promoted/core/homes.py
@@ -20,7 +20,7 @@
 from dataclasses import dataclass
 from math import ceil
 
-from orchidwind.core.rendezvous import first, rank
+from orchidwind.shared.core.rendezvous import first, rank
 
 # With fewer than these to each instance, requests of one proxy wait for one another's connections.
 FEWEST_USEFUL_CONNECTIONS = 4
--- a/src/orchidwind/core/managed/lead_lease.py
+++ b/src/orchidwind/promoted/core/lead_lease.py
@@ -18,7 +18,7 @@
 
 from dataclasses import dataclass
 
-from orchidwind.core.managed.promotion_lock import LockRecord
+from orchidwind.promoted.core.promotion_lock import LockRecord
 
 LEASE_SECONDS = 1.0
 # A lease is renewed this long before it runs out.
--- a/src/orchidwind/core/managed/peer_loss.py
+++ b/src/orchidwind/promoted/core/peer_loss.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from orchidwind.core.errors import RequestError
-from orchidwind.core.managed.answers import read_interrupted, transaction_lost, write_in_doubt
-from orchidwind.core.managed.commands import Command, CommandKind
-from orchidwind.core.managed.session import ManagedSession
+from orchidwind.promoted.core.answers import read_interrupted, transaction_lost, write_in_doubt
+from orchidwind.promoted.core.commands import Command, CommandKind
+from orchidwind.promoted.core.session import ManagedSession
+from orchidwind.shared.core.errors import RequestError
 
 
 def after_lost_home(
--- a/src/orchidwind/core/managed/peer_messages.py
+++ b/src/orchidwind/promoted/core/peer_messages.py
@@ -4,14 +4,14 @@
 
 import msgspec
 
-from orchidwind.core.managed.commands import PreparedStatement
-from orchidwind.core.managed.configuration import (
+from orchidwind.promoted.core.commands import PreparedStatement
+from orchidwind.promoted.core.configuration import (
     DirectoryEntry,
     ManagedDatabase,
     ManagedGroupSettings,
 )
-from orchidwind.core.managed.homes import ProxyMember
-from orchidwind.core.positions import Position
+from orchidwind.promoted.core.homes import ProxyMember
+from orchidwind.shared.core.positions import Position
 
 
 class SettingValue(msgspec.Struct, frozen=True):
--- a/src/orchidwind/core/managed/roster.py
+++ b/src/orchidwind/promoted/core/roster.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from orchidwind.core.positions import Position
+from orchidwind.shared.core.positions import Position
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/orchidwind/core/managed/session.py
+++ b/src/orchidwind/promoted/core/session.py
@@ -4,15 +4,15 @@
 
 from dataclasses import dataclass, field
 
-from orchidwind.core.errors import ErrorKind, RequestError
-from orchidwind.core.managed.commands import (
+from orchidwind.promoted.core.commands import (
     Command,
     CommandKind,
     PreparedStatement,
     TransactionState,
 )
-from orchidwind.core.managed.configuration import ManagedDatabase
-from orchidwind.core.positions import Position
+from orchidwind.promoted.core.configuration import ManagedDatabase
+from orchidwind.shared.core.errors import ErrorKind, RequestError
+from orchidwind.shared.core.positions import Position
 
 MAXIMUM_SETTINGS = 256
 MAXIMUM_PREPARED = 1024
--- a/src/orchidwind/core/managed/steps.py
+++ b/src/orchidwind/promoted/core/steps.py
@@ -5,9 +5,9 @@
 from collections.abc import Generator
 from dataclasses import dataclass
 
-from orchidwind.core.managed.commands import CommandResult, InstanceMessage, Reply
-from orchidwind.core.managed.topology import PrimaryView, ReadPlan
-from orchidwind.core.positions import Position
+from orchidwind.promoted.core.commands import CommandResult, InstanceMessage, Reply
+from orchidwind.promoted.core.topology import PrimaryView, ReadPlan
+from orchidwind.shared.core.positions import Position
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/orchidwind/core/managed/supervision.py
+++ b/src/orchidwind/promoted/core/supervision.py
@@ -4,12 +4,12 @@
 
 from dataclasses import dataclass, replace
 
-from orchidwind.core.managed.failover_steps import (
+from orchidwind.promoted.core.failover_steps import (
     FailoverOutcome,
     FailoverPlan,
     FailoverReason,
 )
-from orchidwind.core.managed.topology import GroupTopology
+from orchidwind.promoted.core.topology import GroupTopology
 
 ASK_AGAIN_SECONDS = 0.15
 LONGEST_ASK_SECONDS = 1.0
--- a/src/orchidwind/core/managed/topology.py
+++ b/src/orchidwind/promoted/core/topology.py
@@ -13,15 +13,15 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, replace
 
-from orchidwind.core.managed.commands import InstanceRole, InstanceStatus
-from orchidwind.core.managed.configuration import (
+from orchidwind.promoted.core.commands import InstanceRole, InstanceStatus
+from orchidwind.promoted.core.configuration import (
     DirectoryEntry,
     ManagedDatabase,
     ManagedGroupSettings,
     ReadConsistency,
 )
-from orchidwind.core.managed.roster import PromotionRecord
-from orchidwind.core.positions import Position
+from orchidwind.promoted.core.roster import PromotionRecord
+from orchidwind.shared.core.positions import Position
 
 _SAMPLE_SPACING_SECONDS = 0.1
 _SAMPLES_KEPT = 64
--- a/src/orchidwind/core/managed/transaction_flows.py
+++ b/src/orchidwind/promoted/core/transaction_flows.py
@@ -4,17 +4,13 @@
 
 from collections.abc import Generator
 
-from orchidwind.core.errors import (
-    BackendConnectionLost,
-    RequestError,
-)
-from orchidwind.core.managed.answers import (
+from orchidwind.promoted.core.answers import (
     read_interrupted,
     reported_in_transaction,
     transaction_lost,
     write_in_doubt,
 )
-from orchidwind.core.managed.commands import (
+from orchidwind.promoted.core.commands import (
     CommandResult,
     InstanceMessage,
     MessageKind,
@@ -22,7 +18,7 @@
     ReplyCode,
     TransactionState,
 )
-from orchidwind.core.managed.flow_parts import (
+from orchidwind.promoted.core.flow_parts import (
     CommandContext,
     after_failed_read,
     after_refused_write,
@@ -33,8 +29,8 @@
     read_connection,
     statement_messages,
 )
-from orchidwind.core.managed.session import OpenTransaction
-from orchidwind.core.managed.steps import (
+from orchidwind.promoted.core.session import OpenTransaction
+from orchidwind.promoted.core.steps import (
     Exchange,
     ExchangeResult,
     Flow,
@@ -42,7 +38,11 @@
     Step,
     StepResult,
 )
-from orchidwind.core.managed.topology import ReadPlan
+from orchidwind.promoted.core.topology import ReadPlan
+from orchidwind.shared.core.errors import (
+    BackendConnectionLost,
+    RequestError,
+)
 
 _BUSY_ATTEMPTS_IN_TRANSACTION = 8
 
--- /dev/null
+++ b/src/orchidwind/promoted/group/__init__.py
@@ -0,0 +1,1 @@
+"""Drivers of promoted groups: connections to instances, proofs, changes of primary."""
--- a/src/orchidwind/managed/commit_guard.py
+++ b/src/orchidwind/promoted/group/commit_guard.py
@@ -14,8 +14,8 @@
 None of them holds where the roster names a promotion to a later term that may have taken effect
 out of this proxy's sight.
 
-With the guard removed ten scripted days of `tests/test_lost_commits.py` and of
-`tests/test_untold_commits.py` break promises, 4 to 250 times each (one play of each).
+With the guard removed ten scripted days of `tests/promoted/test_lost_commits.py` and of
+`tests/promoted/test_untold_commits.py` break promises, 4 to 250 times each (one play of each).
 """
 
 from __future__ import annotations
@@ -24,12 +24,12 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from orchidwind.core.managed.commands import InstanceRole, InstanceStatus
-from orchidwind.core.managed.failover_choice import holds
-from orchidwind.core.managed.topology import GroupTopology
-from orchidwind.core.positions import Position
-from orchidwind.managed.lead_proofs import AskStatus, LeadProver
-from orchidwind.managed.shared_query import SharedQuery
+from orchidwind.promoted.core.commands import InstanceRole, InstanceStatus
+from orchidwind.promoted.core.failover_choice import holds
+from orchidwind.promoted.core.topology import GroupTopology
+from orchidwind.promoted.group.lead_proofs import AskStatus, LeadProver
+from orchidwind.promoted.group.shared_query import SharedQuery
+from orchidwind.shared.core.positions import Position
 
 # A replica receives within some milliseconds; asked more often it would only be kept busy.
 ASK_AGAIN_SECONDS = 0.02
--- a/src/orchidwind/managed/connections.py
+++ b/src/orchidwind/promoted/group/connections.py
@@ -8,18 +8,24 @@
 from itertools import count
 from typing import Any, TypeVar
 
-from orchidwind.core.admission import Refusal, TrafficClass
-from orchidwind.core.concurrency_window import ConcurrencyWindow
-from orchidwind.core.errors import (
+from orchidwind.promoted.core.group import GroupState
+from orchidwind.promoted.ports import InstanceConnector, InstanceLink
+from orchidwind.shared.core.admission import Refusal, TrafficClass
+from orchidwind.shared.core.concurrency_window import ConcurrencyWindow
+from orchidwind.shared.core.errors import (
     BackendConnectionLost,
     BackendRefused,
     ErrorKind,
     RequestError,
 )
-from orchidwind.core.managed.group import GroupState
-from orchidwind.core.pool import CloseConnection, Grant, InstancePool, OpenConnection, PoolEffect
-from orchidwind.logs import log_event
-from orchidwind.managed.ports import InstanceConnector, InstanceLink
+from orchidwind.shared.core.pool import (
+    CloseConnection,
+    Grant,
+    InstancePool,
+    OpenConnection,
+    PoolEffect,
+)
+from orchidwind.shared.logs import log_event
 
 CONNECT_SECONDS = 0.6
 CONNECTION_LIMIT_MET = "53300"
--- a/src/orchidwind/managed/failover_runner.py
+++ b/src/orchidwind/promoted/group/failover_runner.py
@@ -7,14 +7,10 @@
 from collections.abc import Awaitable, Callable, Coroutine
 from typing import Any
 
-from orchidwind.core.errors import (
-    PlatformConflict,
-    PlatformError,
-    PlatformUncertain,
-)
-from orchidwind.core.managed.commands import InstanceRole, InstanceStatus
-from orchidwind.core.managed.failover import change_primary
-from orchidwind.core.managed.failover_steps import (
+from orchidwind.promoted.callers.driving import drive
+from orchidwind.promoted.core.commands import InstanceRole, InstanceStatus
+from orchidwind.promoted.core.failover import change_primary
+from orchidwind.promoted.core.failover_steps import (
     AskAll,
     AwaitRevocation,
     ChoiceReport,
@@ -36,7 +32,7 @@
     UnfenceAll,
     Wait,
 )
-from orchidwind.core.managed.promotion_lock import (
+from orchidwind.promoted.core.promotion_lock import (
     HOLD_SECONDS,
     HeldLock,
     LockDecision,
@@ -44,13 +40,17 @@
     LockRecord,
     held_lock,
 )
-from orchidwind.core.managed.roster import PromotionRecord
-from orchidwind.logs import log_event
-from orchidwind.managed.driving import drive
-from orchidwind.managed.group_service import GroupService
-from orchidwind.managed.lead_lease import LeaseKeeper
-from orchidwind.managed.ports import InstanceLink, PromotionLockStore, PromotionService
-from orchidwind.managed.rosters import RosterKeeper
+from orchidwind.promoted.core.roster import PromotionRecord
+from orchidwind.promoted.group.group_service import GroupService
+from orchidwind.promoted.group.lead_lease import LeaseKeeper
+from orchidwind.promoted.group.rosters import RosterKeeper
+from orchidwind.promoted.ports import InstanceLink, PromotionLockStore, PromotionService
+from orchidwind.shared.core.errors import (
+    PlatformConflict,
+    PlatformError,
+    PlatformUncertain,
+)
+from orchidwind.shared.logs import log_event
 
 _CALL_MARGIN_SECONDS = 0.2
 # As long as the lock may be held, and half a second for what is on its way.
--- a/src/orchidwind/managed/group_service.py
+++ b/src/orchidwind/promoted/group/group_service.py
@@ -7,36 +7,36 @@
 from collections.abc import Callable
 from typing import Any, TypeVar
 
-from orchidwind.core.admission import TrafficClass
-from orchidwind.core.errors import BackendConnectionLost, ErrorKind, RequestError
-from orchidwind.core.managed.circuit_breaker import CircuitBreaker
-from orchidwind.core.managed.commands import (
+from orchidwind.promoted.core.circuit_breaker import CircuitBreaker
+from orchidwind.promoted.core.commands import (
     InstanceMessage,
     InstanceStatus,
     MessageKind,
     Reply,
     ReplyCode,
 )
-from orchidwind.core.managed.configuration import (
+from orchidwind.promoted.core.configuration import (
     DirectoryEntry,
     ManagedDatabase,
     ManagedGroupSettings,
 )
-from orchidwind.core.managed.group import GroupState
-from orchidwind.core.managed.steps import ExchangeResult
-from orchidwind.core.managed.supervision import NOT_CONFIRMING_SECONDS
-from orchidwind.core.managed.topology import PrimaryView, ReadPlan
-from orchidwind.core.positions import Position
-from orchidwind.logs import log_event
-from orchidwind.managed.commit_guard import CommitGuard
-from orchidwind.managed.connections import GroupConnections
-from orchidwind.managed.lead_lease import LeaseKeeper
-from orchidwind.managed.lead_proofs import LeadProver, StatusTask
-from orchidwind.managed.metrics import ManagedMetrics
-from orchidwind.managed.ports import InstanceConnector
-from orchidwind.managed.resting_connections import RestingConnections
-from orchidwind.managed.status_calls import StatusCall, StatusCalls
-from orchidwind.silence import ConnectionKind, SilentConnection
+from orchidwind.promoted.core.group import GroupState
+from orchidwind.promoted.core.steps import ExchangeResult
+from orchidwind.promoted.core.supervision import NOT_CONFIRMING_SECONDS
+from orchidwind.promoted.core.topology import PrimaryView, ReadPlan
+from orchidwind.promoted.group.commit_guard import CommitGuard
+from orchidwind.promoted.group.connections import GroupConnections
+from orchidwind.promoted.group.lead_lease import LeaseKeeper
+from orchidwind.promoted.group.lead_proofs import LeadProver, StatusTask
+from orchidwind.promoted.group.resting_connections import RestingConnections
+from orchidwind.promoted.group.status_calls import StatusCall, StatusCalls
+from orchidwind.promoted.metrics import ManagedMetrics
+from orchidwind.promoted.ports import InstanceConnector
+from orchidwind.shared.core.admission import TrafficClass
+from orchidwind.shared.core.errors import BackendConnectionLost, ErrorKind, RequestError
+from orchidwind.shared.core.positions import Position
+from orchidwind.shared.logs import log_event
+from orchidwind.shared.silence import ConnectionKind, SilentConnection
 
 SILENCE_SECONDS = 0.25
 _SHORTEST_LOOK_SECONDS = 0.01
--- a/src/orchidwind/managed/lead_lease.py
+++ b/src/orchidwind/promoted/group/lead_lease.py
@@ -6,27 +6,27 @@
 from collections.abc import Callable, Iterable, Sequence
 from dataclasses import replace
 
-from orchidwind.core.errors import PeerUnavailable, PlatformError
-from orchidwind.core.managed.failover_steps import ToldCommits
-from orchidwind.core.managed.lead_lease import (
+from orchidwind.promoted.core.failover_steps import ToldCommits
+from orchidwind.promoted.core.lead_lease import (
     RENEWAL_MARGIN_SECONDS,
     REVOCATION_WAIT_SECONDS,
     LeadLease,
     LockReading,
 )
-from orchidwind.core.managed.peer_messages import LockReport
-from orchidwind.core.managed.promotion_lock import TAKE_OVER_SECONDS, LockRecord
-from orchidwind.core.positions import Position
-from orchidwind.logs import log_event
-from orchidwind.managed.peer_link import PeerLink
-from orchidwind.managed.peers import LockReaders
-from orchidwind.managed.ports import (
+from orchidwind.promoted.core.peer_messages import LockReport
+from orchidwind.promoted.core.promotion_lock import TAKE_OVER_SECONDS, LockRecord
+from orchidwind.promoted.peers.peer_link import PeerLink
+from orchidwind.promoted.peers.peers import LockReaders
+from orchidwind.promoted.ports import (
     Changes,
     LeaseConfirmation,
     LeaseRegistry,
     Listing,
     PromotionLockStore,
 )
+from orchidwind.shared.core.errors import PeerUnavailable, PlatformError
+from orchidwind.shared.core.positions import Position
+from orchidwind.shared.logs import log_event
 
 _RETRY_SECONDS = 0.25
 _ASK_AGAIN_SECONDS = 0.025
--- a/src/orchidwind/managed/lead_proofs.py
+++ b/src/orchidwind/promoted/group/lead_proofs.py
@@ -5,10 +5,10 @@
 import asyncio
 from collections.abc import Awaitable, Callable
 
-from orchidwind.core.managed.commands import InstanceStatus
-from orchidwind.core.managed.topology import GroupTopology, knows_no_later_term
-from orchidwind.managed.lead_lease import LeaseKeeper
-from orchidwind.managed.shared_query import SharedQuery
+from orchidwind.promoted.core.commands import InstanceStatus
+from orchidwind.promoted.core.topology import GroupTopology, knows_no_later_term
+from orchidwind.promoted.group.lead_lease import LeaseKeeper
+from orchidwind.promoted.group.shared_query import SharedQuery
 
 AskStatus = Callable[[str], Awaitable[InstanceStatus | None]]
 StatusTask = asyncio.Task[InstanceStatus | None]
--- a/src/orchidwind/managed/resting_connections.py
+++ b/src/orchidwind/promoted/group/resting_connections.py
@@ -10,8 +10,8 @@
 import logging
 from collections.abc import Awaitable, Callable
 
-from orchidwind.logs import log_event
-from orchidwind.managed.connections import GroupConnections
+from orchidwind.promoted.group.connections import GroupConnections
+from orchidwind.shared.logs import log_event
 
 # As a link between proxies at rest. Most pauses are shorter and cost nothing; a longer one costs
 # the instance a status query each second.
--- a/src/orchidwind/managed/rosters.py
+++ b/src/orchidwind/promoted/group/rosters.py
@@ -12,11 +12,11 @@
 from collections.abc import Mapping
 from dataclasses import replace
 
-from orchidwind.core.errors import PlatformError, PlatformUncertain
-from orchidwind.core.managed.roster import PromotionRecord, Roster
-from orchidwind.logs import log_event
-from orchidwind.managed.group_service import GroupService
-from orchidwind.managed.ports import Changes, Listing, RosterStore
+from orchidwind.promoted.core.roster import PromotionRecord, Roster
+from orchidwind.promoted.group.group_service import GroupService
+from orchidwind.promoted.ports import Changes, Listing, RosterStore
+from orchidwind.shared.core.errors import PlatformError, PlatformUncertain
+from orchidwind.shared.logs import log_event
 
 _LOOK_SECONDS = 0.5
 # Proxies see the same change at the same time: the first to write spares the others.
--- a/src/orchidwind/managed/status.py
+++ b/src/orchidwind/promoted/group/status.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from orchidwind.managed.group_service import GroupService
+from orchidwind.promoted.group.group_service import GroupService
 
 
 class ManagedInstanceStatus(msgspec.Struct, frozen=True):
--- a/src/orchidwind/managed/status_calls.py
+++ b/src/orchidwind/promoted/group/status_calls.py
@@ -7,18 +7,18 @@
 from dataclasses import replace
 from typing import Any
 
-from orchidwind.core.errors import BackendConnectionLost, BackendRefused
-from orchidwind.core.managed.commands import InstanceStatus
-from orchidwind.core.managed.topology import GroupTopology
-from orchidwind.logs import log_event
-from orchidwind.managed.connections import (
+from orchidwind.promoted.core.commands import InstanceStatus
+from orchidwind.promoted.core.topology import GroupTopology
+from orchidwind.promoted.group.connections import (
     CONNECT_SECONDS,
     CONNECTION_LIMIT_MET,
     OTHER_INSTANCE,
     GroupConnections,
 )
-from orchidwind.managed.ports import InstanceLink
-from orchidwind.silence import (
+from orchidwind.promoted.ports import InstanceLink
+from orchidwind.shared.core.errors import BackendConnectionLost, BackendRefused
+from orchidwind.shared.logs import log_event
+from orchidwind.shared.silence import (
     ConnectionKind,
     OnSilent,
     SilentConnection,
--- a/src/orchidwind/managed/supervising.py
+++ b/src/orchidwind/promoted/group/supervising.py
@@ -7,19 +7,19 @@
 import random
 from collections.abc import Awaitable, Callable
 
-from orchidwind.core.managed.failover_steps import (
+from orchidwind.promoted.core.failover_steps import (
     FailoverOutcome,
     FailoverPlan,
     FailoverReason,
 )
-from orchidwind.core.managed.supervision import GroupSupervisor, Look
-from orchidwind.logs import log_event
-from orchidwind.managed.failover_runner import FailoverRunner, PromotionLockClient
-from orchidwind.managed.group_service import GroupService
-from orchidwind.managed.lead_lease import LeaseKeeper
-from orchidwind.managed.metrics import ManagedMetrics
-from orchidwind.managed.ports import PromotionService
-from orchidwind.managed.rosters import RosterKeeper
+from orchidwind.promoted.core.supervision import GroupSupervisor, Look
+from orchidwind.promoted.group.failover_runner import FailoverRunner, PromotionLockClient
+from orchidwind.promoted.group.group_service import GroupService
+from orchidwind.promoted.group.lead_lease import LeaseKeeper
+from orchidwind.promoted.group.rosters import RosterKeeper
+from orchidwind.promoted.metrics import ManagedMetrics
+from orchidwind.promoted.ports import PromotionService
+from orchidwind.shared.logs import log_event
 
 _UNSUPERVISED_LOOK_SECONDS = 1.0
 
--- a/src/orchidwind/managed/metrics.py
+++ b/src/orchidwind/promoted/metrics.py
@@ -6,9 +6,9 @@
 
 from prometheus_client import CollectorRegistry, Counter, Gauge, Histogram, generate_latest
 
-from orchidwind.core.errors import ErrorKind
-from orchidwind.core.managed.commands import CommandKind
-from orchidwind.silence import SilentConnection, log_silent
+from orchidwind.promoted.core.commands import CommandKind
+from orchidwind.shared.core.errors import ErrorKind
+from orchidwind.shared.silence import SilentConnection, log_silent
 
 _LATENCY_BUCKETS = (0.002, 0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2)
 
--- a/src/orchidwind/managed/node.py
+++ b/src/orchidwind/promoted/node.py
@@ -7,34 +7,34 @@
 from collections.abc import Awaitable, Callable, Iterable
 from typing import Any
 
-from orchidwind.core.errors import ErrorKind
-from orchidwind.core.managed.commands import Command
-from orchidwind.core.managed.configuration import (
+from orchidwind.promoted.callers.sessions import SessionRegistry
+from orchidwind.promoted.core.commands import Command
+from orchidwind.promoted.core.configuration import (
     DEFAULT_TRANSACTION_IDLE_SECONDS,
     DirectoryEntry,
     ManagedConfiguration,
     ManagedDatabase,
 )
-from orchidwind.core.managed.homes import ProxyMember
-from orchidwind.logs import log_event
-from orchidwind.managed.failover_runner import PromotionLockClient
-from orchidwind.managed.following import GATHER_MEMBERS_SECONDS, NodeBounds, NodeViews
-from orchidwind.managed.group_service import GroupService
-from orchidwind.managed.lead_lease import LeaseKeeper
-from orchidwind.managed.metrics import ManagedMetrics
-from orchidwind.managed.peer_service import HomePorts, PeerService
-from orchidwind.managed.peers import PeerNetwork
-from orchidwind.managed.ports import NodePorts
-from orchidwind.managed.rosters import RosterKeeper
-from orchidwind.managed.sessions import SessionRegistry
-from orchidwind.managed.status import ManagedStatus, group_status
-from orchidwind.managed.supervising import GroupSupervision
-from orchidwind.managed.views import (
+from orchidwind.promoted.core.homes import ProxyMember
+from orchidwind.promoted.group.failover_runner import PromotionLockClient
+from orchidwind.promoted.group.group_service import GroupService
+from orchidwind.promoted.group.lead_lease import LeaseKeeper
+from orchidwind.promoted.group.rosters import RosterKeeper
+from orchidwind.promoted.group.status import ManagedStatus, group_status
+from orchidwind.promoted.group.supervising import GroupSupervision
+from orchidwind.promoted.metrics import ManagedMetrics
+from orchidwind.promoted.peers.peer_service import HomePorts, PeerService
+from orchidwind.promoted.peers.peers import PeerNetwork
+from orchidwind.promoted.ports import NodePorts
+from orchidwind.promoted.views.following import GATHER_MEMBERS_SECONDS, NodeBounds, NodeViews
+from orchidwind.promoted.views.views import (
     ConfigurationFollower,
     DirectoryFollower,
     ViewReporter,
 )
-from orchidwind.managed.watch import CollectionWatch
+from orchidwind.promoted.views.watch import CollectionWatch
+from orchidwind.shared.core.errors import ErrorKind
+from orchidwind.shared.logs import log_event
 
 _FORGET_SECONDS = 5.0
 _LOGGED_SUCCESSES = 200
--- /dev/null
+++ b/src/orchidwind/promoted/peers/__init__.py
@@ -0,0 +1,1 @@
+"""Drivers of promoted groups: links between proxies."""
--- a/src/orchidwind/managed/forwarding.py
+++ b/src/orchidwind/promoted/peers/forwarding.py
@@ -6,19 +6,19 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from orchidwind.core.errors import ErrorKind, PeerUnavailable, RequestError
-from orchidwind.core.managed.commands import Command, CommandKind, CommandResult
-from orchidwind.core.managed.flow_parts import CommandContext
-from orchidwind.core.managed.peer_loss import after_lost_home
-from orchidwind.core.managed.peer_messages import (
+from orchidwind.promoted.callers.command_runner import TimeLimits
+from orchidwind.promoted.core.commands import Command, CommandKind, CommandResult
+from orchidwind.promoted.core.flow_parts import CommandContext
+from orchidwind.promoted.core.peer_loss import after_lost_home
+from orchidwind.promoted.core.peer_messages import (
     CloseChannel,
     CommandAnswer,
     RunCommand,
     SettingValue,
 )
-from orchidwind.core.managed.session import ManagedSession
-from orchidwind.managed.command_runner import TimeLimits
-from orchidwind.managed.peer_link import PeerLink
+from orchidwind.promoted.core.session import ManagedSession
+from orchidwind.promoted.peers.peer_link import PeerLink
+from orchidwind.shared.core.errors import ErrorKind, PeerUnavailable, RequestError
 
 # The home answers at the deadline by itself; this is for the way back.
 _ANSWER_GRACE_SECONDS = 0.05
--- a/src/orchidwind/network/peer_codec.py
+++ b/src/orchidwind/promoted/peers/peer_codec.py
@@ -6,9 +6,9 @@
 
 import msgspec
 
-from orchidwind.core.managed import peer_messages
-from orchidwind.core.managed.peer_messages import PeerMessage
-from orchidwind.network.avro_records import (
+from orchidwind.promoted.core import peer_messages
+from orchidwind.promoted.core.peer_messages import PeerMessage
+from orchidwind.shared.avro_records import (
     DECODE_FAULTS,
     DecodeError,
     FrameCutter,
--- a/src/orchidwind/managed/peer_link.py
+++ b/src/orchidwind/promoted/peers/peer_link.py
@@ -5,9 +5,8 @@
 import asyncio
 from itertools import count
 
-from orchidwind.core.errors import PeerUnavailable
-from orchidwind.core.managed.homes import ProxyMember
-from orchidwind.core.managed.peer_messages import (
+from orchidwind.promoted.core.homes import ProxyMember
+from orchidwind.promoted.core.peer_messages import (
     Alive,
     CommandAnswer,
     Greeting,
@@ -19,9 +18,10 @@
     ViewQuery,
     ViewReport,
 )
-from orchidwind.logs import log_event
-from orchidwind.managed.ports import PeerConnection, PeerConnector
-from orchidwind.silence import ConnectionKind, OnSilent, SilentConnection, log_silent
+from orchidwind.promoted.ports import PeerConnection, PeerConnector
+from orchidwind.shared.core.errors import PeerUnavailable
+from orchidwind.shared.logs import log_event
+from orchidwind.shared.silence import ConnectionKind, OnSilent, SilentConnection, log_silent
 
 CONNECT_SECONDS = 0.4
 PROBE_AFTER_SECONDS = 0.15
--- a/src/orchidwind/managed/peer_service.py
+++ b/src/orchidwind/promoted/peers/peer_service.py
@@ -10,17 +10,18 @@
 
 import msgspec
 
-from orchidwind.core.errors import ErrorKind, RequestError
-from orchidwind.core.managed.answers import transaction_lost
-from orchidwind.core.managed.commands import (
+from orchidwind.promoted.callers.command_runner import CommandRunner, TimeLimits
+from orchidwind.promoted.callers.sessions import SessionRegistry
+from orchidwind.promoted.core.answers import transaction_lost
+from orchidwind.promoted.core.commands import (
     Command,
     CommandKind,
     CommandResult,
     TransactionState,
 )
-from orchidwind.core.managed.configuration import ManagedDatabase, ReadConsistency
-from orchidwind.core.managed.flow_parts import CommandContext
-from orchidwind.core.managed.peer_messages import (
+from orchidwind.promoted.core.configuration import ManagedDatabase, ReadConsistency
+from orchidwind.promoted.core.flow_parts import CommandContext
+from orchidwind.promoted.core.peer_messages import (
     Alive,
     CloseChannel,
     CommandAnswer,
@@ -33,11 +34,10 @@
     ViewQuery,
     ViewReport,
 )
-from orchidwind.core.managed.session import ManagedSession, OpenTransaction
-from orchidwind.logs import log_event
-from orchidwind.managed.command_runner import CommandRunner, TimeLimits
-from orchidwind.managed.group_service import GroupService
-from orchidwind.managed.sessions import SessionRegistry
+from orchidwind.promoted.core.session import ManagedSession, OpenTransaction
+from orchidwind.promoted.group.group_service import GroupService
+from orchidwind.shared.core.errors import ErrorKind, RequestError
+from orchidwind.shared.logs import log_event
 
 _PREPARED_NAME = "forwarded"
 _LOGGED_ATTEMPTS = 4
--- a/src/orchidwind/network/peer_streams.py
+++ b/src/orchidwind/promoted/peers/peer_streams.py
@@ -16,11 +16,11 @@
 from tornado.iostream import IOStream, StreamClosedError
 from tornado.tcpserver import TCPServer
 
-from orchidwind.core.errors import PeerUnavailable
-from orchidwind.core.managed.homes import ProxyMember
-from orchidwind.core.managed.peer_messages import PeerMessage
-from orchidwind.managed.peer_service import LinkWriter, PeerService
-from orchidwind.network.sockets import client_socket, watchful
+from orchidwind.promoted.core.homes import ProxyMember
+from orchidwind.promoted.core.peer_messages import PeerMessage
+from orchidwind.promoted.peers.peer_service import LinkWriter, PeerService
+from orchidwind.shared.core.errors import PeerUnavailable
+from orchidwind.shared.sockets import client_socket, watchful
 
 _READ_BYTES = 65536
 _RESET_ON_CLOSE = struct.pack("ii", 1, 0)
@@ -28,7 +28,7 @@
 
 def _codec() -> ModuleType:
     """The codec; imported with the first link, as a small system needs none."""
-    from orchidwind.network import peer_codec
+    from orchidwind.promoted.peers import peer_codec
 
     return peer_codec
 
--- a/src/orchidwind/managed/peers.py
+++ b/src/orchidwind/promoted/peers/peers.py
@@ -7,13 +7,13 @@
 from dataclasses import dataclass
 from itertools import count
 
-from orchidwind.core.errors import PlatformError
-from orchidwind.core.managed.homes import GroupHomes, ProxyMember, group_homes
-from orchidwind.core.rendezvous import first
-from orchidwind.logs import log_event
-from orchidwind.managed.peer_link import PeerLink
-from orchidwind.managed.ports import Changes, Listing, MemberStore, PeerConnector
-from orchidwind.silence import OnSilent, log_silent
+from orchidwind.promoted.core.homes import GroupHomes, ProxyMember, group_homes
+from orchidwind.promoted.peers.peer_link import PeerLink
+from orchidwind.promoted.ports import Changes, Listing, MemberStore, PeerConnector
+from orchidwind.shared.core.errors import PlatformError
+from orchidwind.shared.core.rendezvous import first
+from orchidwind.shared.logs import log_event
+from orchidwind.shared.silence import OnSilent, log_silent
 
 FORGET_SECONDS = 30.0
 _RETRY_SECONDS = 0.25
--- a/src/orchidwind/managed/ports.py
+++ b/src/orchidwind/promoted/ports.py
@@ -6,14 +6,14 @@
 from dataclasses import dataclass, field
 from typing import Generic, Protocol, TypeVar
 
-from orchidwind.core.managed.commands import InstanceMessage, InstanceStatus, Reply
-from orchidwind.core.managed.configuration import DirectoryEntry, ManagedConfiguration
-from orchidwind.core.managed.failover_steps import PromotionAnswer
-from orchidwind.core.managed.homes import ProxyMember
-from orchidwind.core.managed.peer_messages import PeerMessage
-from orchidwind.core.managed.promotion_lock import LockRecord
-from orchidwind.core.managed.roster import Roster
-from orchidwind.core.positions import Position
+from orchidwind.promoted.core.commands import InstanceMessage, InstanceStatus, Reply
+from orchidwind.promoted.core.configuration import DirectoryEntry, ManagedConfiguration
+from orchidwind.promoted.core.failover_steps import PromotionAnswer
+from orchidwind.promoted.core.homes import ProxyMember
+from orchidwind.promoted.core.peer_messages import PeerMessage
+from orchidwind.promoted.core.promotion_lock import LockRecord
+from orchidwind.promoted.core.roster import Roster
+from orchidwind.shared.core.positions import Position
 
 Item = TypeVar("Item", covariant=True)
 
--- a/src/orchidwind/managed/following.py
+++ b/src/orchidwind/promoted/views/following.py
@@ -7,16 +7,16 @@
 from dataclasses import dataclass
 from typing import Any
 
-from orchidwind.core.managed.configuration import DirectoryEntry, ManagedConfiguration
-from orchidwind.core.managed.freshness import FollowTimes
-from orchidwind.core.managed.homes import ProxyMember
-from orchidwind.core.managed.topology import DEFAULT_ENTRY_OUTLIVES_SECONDS
-from orchidwind.managed.lead_lease import LeaseKeeper
-from orchidwind.managed.metrics import ManagedMetrics
-from orchidwind.managed.peers import PeerNetwork
-from orchidwind.managed.ports import NodePorts
-from orchidwind.managed.rosters import RosterKeeper
-from orchidwind.managed.views import (
+from orchidwind.promoted.core.configuration import DirectoryEntry, ManagedConfiguration
+from orchidwind.promoted.core.freshness import FollowTimes
+from orchidwind.promoted.core.homes import ProxyMember
+from orchidwind.promoted.core.topology import DEFAULT_ENTRY_OUTLIVES_SECONDS
+from orchidwind.promoted.group.lead_lease import LeaseKeeper
+from orchidwind.promoted.group.rosters import RosterKeeper
+from orchidwind.promoted.metrics import ManagedMetrics
+from orchidwind.promoted.peers.peers import PeerNetwork
+from orchidwind.promoted.ports import NodePorts
+from orchidwind.promoted.views.views import (
     CONFIGURATION,
     DIRECTORY,
     MEMBERS,
@@ -25,7 +25,7 @@
     told_directory,
     told_members,
 )
-from orchidwind.managed.watch import CollectionFollower, CollectionWatch
+from orchidwind.promoted.views.watch import CollectionFollower, CollectionWatch
 
 PROMOTION_LOCK = "promotion_lock"
 ROSTERS = "rosters"
--- a/src/orchidwind/managed/hedging.py
+++ b/src/orchidwind/promoted/views/hedging.py
@@ -10,7 +10,7 @@
 from collections.abc import Awaitable, Callable
 from typing import TypeVar
 
-from orchidwind.core.errors import PlatformError
+from orchidwind.shared.core.errors import PlatformError
 
 # So many calls at once let a store answer that needs as many times the stagger.
 MOST_CALLS = 5
--- a/src/orchidwind/managed/views.py
+++ b/src/orchidwind/promoted/views/views.py
@@ -15,23 +15,23 @@
 
 import msgspec
 
-from orchidwind.core.errors import PeerUnavailable
-from orchidwind.core.managed.configuration import DirectoryEntry, ManagedConfiguration
-from orchidwind.core.managed.freshness import FollowTimes
-from orchidwind.core.managed.homes import ProxyMember, zone_readers
-from orchidwind.core.managed.peer_messages import (
+from orchidwind.promoted.core.configuration import DirectoryEntry, ManagedConfiguration
+from orchidwind.promoted.core.freshness import FollowTimes
+from orchidwind.promoted.core.homes import ProxyMember, zone_readers
+from orchidwind.promoted.core.peer_messages import (
     ConfigurationView,
     DirectoryView,
     MembersView,
     ViewQuery,
     ViewReport,
 )
-from orchidwind.logs import log_event
-from orchidwind.managed.metrics import ManagedMetrics
-from orchidwind.managed.peer_link import REST_PROBE_SECONDS, PeerLink
-from orchidwind.managed.peers import PeerNetwork
-from orchidwind.managed.ports import Changes, Listing
-from orchidwind.managed.watch import CollectionWatch, ToldView
+from orchidwind.promoted.metrics import ManagedMetrics
+from orchidwind.promoted.peers.peer_link import REST_PROBE_SECONDS, PeerLink
+from orchidwind.promoted.peers.peers import PeerNetwork
+from orchidwind.promoted.ports import Changes, Listing
+from orchidwind.promoted.views.watch import CollectionWatch, ToldView
+from orchidwind.shared.core.errors import PeerUnavailable
+from orchidwind.shared.logs import log_event
 
 CONFIGURATION = "configuration"
 DIRECTORY = "directory"
--- a/src/orchidwind/managed/watch.py
+++ b/src/orchidwind/promoted/views/watch.py
@@ -13,12 +13,12 @@
 from dataclasses import dataclass
 from typing import Generic, Protocol, TypeVar
 
-from orchidwind.core.errors import PlatformError, PlatformVersionGone
-from orchidwind.core.managed.freshness import FollowTimes, ViewAge
-from orchidwind.logs import log_event
-from orchidwind.managed.hedging import MOST_CALLS, Arrival, hedged
-from orchidwind.managed.ports import Changes, Listing, WatchedCollection
-from orchidwind.silence import ConnectionKind, OnSilent, SilentConnection, log_silent
+from orchidwind.promoted.core.freshness import FollowTimes, ViewAge
+from orchidwind.promoted.ports import Changes, Listing, WatchedCollection
+from orchidwind.promoted.views.hedging import MOST_CALLS, Arrival, hedged
+from orchidwind.shared.core.errors import PlatformError, PlatformVersionGone
+from orchidwind.shared.logs import log_event
+from orchidwind.shared.silence import ConnectionKind, OnSilent, SilentConnection, log_silent
 
 _FIRST_RETRY_SECONDS = 0.1
 # A check that finds nothing to do must not be repeated without a pause.
--- a/src/orchidwind/network/avro_records.py
+++ b/src/orchidwind/shared/avro_records.py
@@ -23,7 +23,7 @@
 
 def load_schema(union: str) -> Any:
     """One of the unions of `messages.avsc`."""
-    text = resources.files("orchidwind.network").joinpath("messages.avsc").read_text()
+    text = resources.files("orchidwind.shared").joinpath("messages.avsc").read_text()
     return fastavro.parse_schema(json.loads(text)[union])
 
 
--- a/src/orchidwind/core/checked_decoding.py
+++ b/src/orchidwind/shared/core/checked_decoding.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from orchidwind.core.errors import SettingsError
+from orchidwind.shared.core.errors import SettingsError
 
 T = TypeVar("T")
 
--- a/src/orchidwind/core/pool.py
+++ b/src/orchidwind/shared/core/pool.py
@@ -11,8 +11,8 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-from orchidwind.core.admission import AdmissionQueue, Refusal, TrafficClass
-from orchidwind.core.concurrency_window import ConcurrencyWindow
+from orchidwind.shared.core.admission import AdmissionQueue, Refusal, TrafficClass
+from orchidwind.shared.core.concurrency_window import ConcurrencyWindow
 
 _REOPEN_SECONDS = 0.1
 _LONGEST_REOPEN_SECONDS = 2.0
--- a/src/orchidwind/settings.py
+++ b/src/orchidwind/shared/settings.py
@@ -7,8 +7,8 @@
 
 import msgspec
 
-from orchidwind.core.checked_decoding import decode_checked
-from orchidwind.core.errors import SettingsError
+from orchidwind.shared.core.checked_decoding import decode_checked
+from orchidwind.shared.core.errors import SettingsError
 
 _PORT_MAXIMUM = 65535
 
--- a/src/orchidwind/silence.py
+++ b/src/orchidwind/shared/silence.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from orchidwind.logs import log_event
+from orchidwind.shared.logs import log_event
 
 
 class ConnectionKind(Enum):
--- /dev/null
+++ b/src/orchidwind_bench/elected/__init__.py
@@ -0,0 +1,1 @@
+"""Demonstration, experiments and simulator of elected groups."""
--- a/src/orchidwind_bench/callers.py
+++ b/src/orchidwind_bench/elected/callers.py
@@ -11,7 +11,7 @@
 
 import psycopg
 
-from orchidwind_bench.checkers import History, ReadEvent, Result, WriteEvent
+from orchidwind_bench.elected.checkers import History, ReadEvent, Result, WriteEvent
 
 CREATE_MARKS = "CREATE TABLE marks (mark bigint, k text, writer text)"
 CREATE_INDEX = "CREATE INDEX marks_by_key ON marks (k)"
--- a/src/orchidwind_bench/day.py
+++ b/src/orchidwind_bench/elected/day.py
@@ -17,12 +17,12 @@
 
 import msgspec
 
-from orchidwind.core.configuration import ClassSettings
-from orchidwind_bench.callers import CallerOptions
-from orchidwind_bench.deployment import PLANS, DeploymentPlan
-from orchidwind_bench.loaded_run import ExperimentReport, Progress, Run, RunOptions, prepare
+from orchidwind.elected.core.configuration import ClassSettings
+from orchidwind_bench.elected.callers import CallerOptions
+from orchidwind_bench.elected.deployment import PLANS, DeploymentPlan
+from orchidwind_bench.elected.loaded_run import ExperimentReport, Progress, Run, RunOptions, prepare
+from orchidwind_bench.elected.replica_share import read_counts
 from orchidwind_bench.processes import Program, Programs
-from orchidwind_bench.replica_share import read_counts
 
 _DAY_SECONDS = 40.0
 _NIGHT_LOAD = 0.1
--- a/src/orchidwind_bench/demo.py
+++ b/src/orchidwind_bench/elected/demo.py
@@ -10,18 +10,18 @@
 
 import psycopg
 
-from orchidwind_bench.callers import (
+from orchidwind_bench.elected.callers import (
     CREATE_INDEX,
     CREATE_MARKS,
     Caller,
     CallerOptions,
     Tally,
 )
-from orchidwind_bench.checkers import History, Result, Violation, check_all
-from orchidwind_bench.deployment import Deployment, DeploymentPlan
+from orchidwind_bench.elected.checkers import History, Result, Violation, check_all
+from orchidwind_bench.elected.deployment import Deployment, DeploymentPlan
+from orchidwind_bench.elected.replica_share import replica_share
 from orchidwind_bench.processes import Programs
-from orchidwind_bench.replica_share import replica_share
-from orchidwind_standins.replication import LogRecord
+from orchidwind_standins.elected.replication import LogRecord
 
 _DATABASE = "demo"
 _PLAN = DeploymentPlan(
--- a/src/orchidwind_bench/deployment.py
+++ b/src/orchidwind_bench/elected/deployment.py
@@ -12,8 +12,8 @@
 from tornado.httpclient import AsyncHTTPClient, HTTPClientError
 
 from orchidwind.commands import operations
-from orchidwind.core.commit_barrier import Acknowledge
-from orchidwind.core.configuration import (
+from orchidwind.elected.core.commit_barrier import Acknowledge
+from orchidwind.elected.core.configuration import (
     ClassSettings,
     DatabaseSettings,
     InstanceAddress,
@@ -21,12 +21,12 @@
     UserSettings,
     ZoneSettings,
 )
-from orchidwind.settings import ProxySettings
+from orchidwind.shared.settings import ProxySettings
 from orchidwind_bench.processes import Program, Programs, free_ports
-from orchidwind_standins.group_settings import Faults, GroupSettings, InstanceSettings
-from orchidwind_standins.platform_main import PlatformCounts, PlatformFaults
-from orchidwind_standins.postgres_main import InstanceStatusReport
-from orchidwind_standins.replication import LogRecord
+from orchidwind_standins.elected.group_settings import Faults, GroupSettings, InstanceSettings
+from orchidwind_standins.elected.platform_main import PlatformCounts, PlatformFaults
+from orchidwind_standins.elected.postgres_main import InstanceStatusReport
+from orchidwind_standins.elected.replication import LogRecord
 
 CALLER = "app"
 CALLER_PASSWORD = "app-password"
@@ -130,7 +130,7 @@
         self.platform_port = free_ports(1)[0]
         self.programs.start(
             "platform",
-            "orchidwind_standins.platform_main",
+            "orchidwind_standins.elected.platform_main",
             ["--port", str(self.platform_port)],
         )
         for database in self.plan.databases:
@@ -197,7 +197,7 @@
         arguments = [str(self.group_files[database]), name]
         if rejoin:
             arguments.append("--rejoin")
-        return self.programs.start(name, "orchidwind_standins.postgres_main", arguments)
+        return self.programs.start(name, "orchidwind_standins.elected.postgres_main", arguments)
 
     def instance(self, database: str, name: str) -> InstanceSettings:
         """Settings of an instance."""
--- a/src/orchidwind_bench/experiments.py
+++ b/src/orchidwind_bench/elected/experiments.py
@@ -13,14 +13,14 @@
 import msgspec
 
 from orchidwind.commands import operations
-from orchidwind.core.configuration import OperatorFile
-from orchidwind.core.errors import OrchidwindError
-from orchidwind_bench.checkers import Violation
-from orchidwind_bench.deployment import PLANS, Deployment, fetch
-from orchidwind_bench.loaded_run import ExperimentReport, Progress, Run, RunOptions, prepare
+from orchidwind.elected.core.configuration import OperatorFile
+from orchidwind.shared.core.errors import OrchidwindError
+from orchidwind_bench.elected.checkers import Violation
+from orchidwind_bench.elected.deployment import PLANS, Deployment, fetch
+from orchidwind_bench.elected.loaded_run import ExperimentReport, Progress, Run, RunOptions, prepare
 from orchidwind_bench.processes import Programs
-from orchidwind_standins.group_settings import Faults
-from orchidwind_standins.platform_main import PlatformFaults
+from orchidwind_standins.elected.group_settings import Faults
+from orchidwind_standins.elected.platform_main import PlatformFaults
 
 _LEAVING_SECONDS = 3.0
 _DEFAULT_LAG_MS = 20.0
--- a/src/orchidwind_bench/loaded_run.py
+++ b/src/orchidwind_bench/elected/loaded_run.py
@@ -11,13 +11,13 @@
 import msgspec
 from hdrh.histogram import HdrHistogram
 
-from orchidwind.core.commit_barrier import Acknowledge
-from orchidwind_bench.callers import Caller, CallerOptions, Tally
-from orchidwind_bench.checkers import History, Result, Violation
-from orchidwind_bench.demo import create_tables, judge, write_gap
-from orchidwind_bench.deployment import Deployment, DeploymentPlan, ProxyNode
+from orchidwind.elected.core.commit_barrier import Acknowledge
+from orchidwind_bench.elected.callers import Caller, CallerOptions, Tally
+from orchidwind_bench.elected.checkers import History, Result, Violation
+from orchidwind_bench.elected.demo import create_tables, judge, write_gap
+from orchidwind_bench.elected.deployment import Deployment, DeploymentPlan, ProxyNode
+from orchidwind_bench.elected.replica_share import read_counts
 from orchidwind_bench.processes import Programs
-from orchidwind_bench.replica_share import read_counts
 
 _MICROSECONDS = 1_000_000
 _LONGEST_LATENCY = 60 * _MICROSECONDS
--- a/src/orchidwind_bench/replica_share.py
+++ b/src/orchidwind_bench/elected/replica_share.py
@@ -7,7 +7,7 @@
 from prometheus_client.parser import text_string_to_metric_families
 from tornado.httpclient import HTTPClientError
 
-from orchidwind_bench.deployment import Deployment, ProxyNode, fetch
+from orchidwind_bench.elected.deployment import Deployment, ProxyNode, fetch
 
 
 @dataclass(frozen=True)
--- a/src/orchidwind_bench/simulation/caller.py
+++ b/src/orchidwind_bench/elected/simulation/caller.py
@@ -5,16 +5,16 @@
 import random
 from typing import TYPE_CHECKING
 
-from orchidwind.core.admission import TrafficClass
-from orchidwind.core.caller_session import CallerSession, Forward
-from orchidwind.core.errors import Ran
-from orchidwind.core.statements import ChannelKey, Outcome, Statement, StatementRequest
-from orchidwind_bench.checkers import ReadEvent, Result, WriteEvent
-from orchidwind_bench.simulation.database import INSERT_MARK, SELECT_MARKS
-from orchidwind_bench.simulation.home import OnOutcome
+from orchidwind.elected.core.caller_session import CallerSession, Forward
+from orchidwind.elected.core.statements import ChannelKey, Outcome, Statement, StatementRequest
+from orchidwind.shared.core.admission import TrafficClass
+from orchidwind.shared.core.errors import Ran
+from orchidwind_bench.elected.checkers import ReadEvent, Result, WriteEvent
+from orchidwind_bench.elected.simulation.database import INSERT_MARK, SELECT_MARKS
+from orchidwind_bench.elected.simulation.home import OnOutcome
 
 if TYPE_CHECKING:
-    from orchidwind_bench.simulation.system import SimulatedSystem
+    from orchidwind_bench.elected.simulation.system import SimulatedSystem
 
 
 class SimulatedCaller:
--- a/src/orchidwind_bench/simulation/database.py
+++ b/src/orchidwind_bench/elected/simulation/database.py
@@ -7,19 +7,19 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from orchidwind.core.errors import ErrorKind, RequestError
-from orchidwind.core.group_view import InstanceReport
-from orchidwind.core.statements import (
+from orchidwind.elected.core.group_view import InstanceReport
+from orchidwind.elected.core.statements import (
     TRANSACTION_FAILED,
     TRANSACTION_IDLE,
     TRANSACTION_OPEN,
     RunResult,
     Statement,
 )
-from orchidwind_bench.checkers import Promotion
-from orchidwind_bench.simulation.events import EventQueue, Timer
-from orchidwind_bench.simulation.network import Network
-from orchidwind_standins.replication import (
+from orchidwind.shared.core.errors import ErrorKind, RequestError
+from orchidwind_bench.elected.checkers import Promotion
+from orchidwind_bench.elected.simulation.events import EventQueue, Timer
+from orchidwind_bench.elected.simulation.network import Network
+from orchidwind_standins.elected.replication import (
     Change,
     GroupTimings,
     Instance,
--- a/src/orchidwind_bench/simulation/home.py
+++ b/src/orchidwind_bench/elected/simulation/home.py
@@ -6,8 +6,7 @@
 from dataclasses import dataclass, replace
 from typing import TYPE_CHECKING
 
-from orchidwind.core.errors import BackendConnectionLost
-from orchidwind.core.group_effects import (
+from orchidwind.elected.core.group_effects import (
     AbandonConnection,
     CancelConnection,
     Finished,
@@ -15,19 +14,20 @@
     PollInstance,
     RunOnConnection,
 )
-from orchidwind.core.group_view import InstanceReport
-from orchidwind.core.pool import CloseConnection, OpenConnection
-from orchidwind.core.statements import ChannelKey, Outcome, StatementRequest
-from orchidwind_bench.simulation.database import (
+from orchidwind.elected.core.group_view import InstanceReport
+from orchidwind.elected.core.statements import ChannelKey, Outcome, StatementRequest
+from orchidwind.shared.core.errors import BackendConnectionLost
+from orchidwind.shared.core.pool import CloseConnection, OpenConnection
+from orchidwind_bench.elected.simulation.database import (
     STATEMENT_SECONDS,
     SessionAnswer,
     SimulatedInstance,
     SimulatedSession,
 )
-from orchidwind_bench.simulation.events import Timer
+from orchidwind_bench.elected.simulation.events import Timer
 
 if TYPE_CHECKING:
-    from orchidwind_bench.simulation.system import SimulatedSystem
+    from orchidwind_bench.elected.simulation.system import SimulatedSystem
 
 _CONNECT_SECONDS = 0.01
 _CONNECT_TIMEOUT_SECONDS = 2.0
--- a/src/orchidwind_bench/simulation/members.py
+++ b/src/orchidwind_bench/elected/simulation/members.py
@@ -8,7 +8,7 @@
 import random
 from collections.abc import Iterable
 
-from orchidwind.core.configuration import (
+from orchidwind.elected.core.configuration import (
     ConfigurationDocument,
     DatabaseSettings,
     InstanceAddress,
@@ -16,8 +16,8 @@
     UserSettings,
     ZoneSettings,
 )
-from orchidwind.core.configuration_history import Adopt, ConfigurationHistory, HistoryEffect
-from orchidwind.core.membership import (
+from orchidwind.elected.core.configuration_history import Adopt, ConfigurationHistory, HistoryEffect
+from orchidwind.elected.core.membership import (
     Member,
     Membership,
     MembershipEffect,
@@ -26,10 +26,10 @@
     SendDatagram,
     ViewChanged,
 )
-from orchidwind.core.placement import Node, Placement
-from orchidwind.network import codec
-from orchidwind_bench.simulation.events import EventQueue, Timer
-from orchidwind_bench.simulation.network import Network, NetworkSettings
+from orchidwind.elected.core.placement import Node, Placement
+from orchidwind.elected.network import codec
+from orchidwind_bench.elected.simulation.events import EventQueue, Timer
+from orchidwind_bench.elected.simulation.network import Network, NetworkSettings
 
 _GOSSIP_PORT = 1
 _WATCH_POLL_SECONDS = 0.5
--- a/src/orchidwind_bench/simulation/network.py
+++ b/src/orchidwind_bench/elected/simulation/network.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from orchidwind_bench.simulation.events import EventQueue
+from orchidwind_bench.elected.simulation.events import EventQueue
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/orchidwind_bench/simulation/system.py
+++ b/src/orchidwind_bench/elected/simulation/system.py
@@ -10,23 +10,23 @@
 from collections.abc import Callable
 from itertools import count
 
-from orchidwind.core.admission import TrafficClass
-from orchidwind.core.errors import ErrorKind, RequestError
-from orchidwind.core.group_effects import GroupOptions
-from orchidwind.core.home_group import HomeGroup
-from orchidwind.core.link_loss import after_link_loss
-from orchidwind.core.statements import Outcome, StatementRequest
-from orchidwind_bench.checkers import History
-from orchidwind_bench.simulation.caller import SimulatedCaller
-from orchidwind_bench.simulation.database import (
+from orchidwind.elected.core.group_effects import GroupOptions
+from orchidwind.elected.core.home_group import HomeGroup
+from orchidwind.elected.core.link_loss import after_link_loss
+from orchidwind.elected.core.statements import Outcome, StatementRequest
+from orchidwind.shared.core.admission import TrafficClass
+from orchidwind.shared.core.errors import ErrorKind, RequestError
+from orchidwind_bench.elected.checkers import History
+from orchidwind_bench.elected.simulation.caller import SimulatedCaller
+from orchidwind_bench.elected.simulation.database import (
     SimulatedGroup,
     SimulatedInstance,
     SimulatedSession,
 )
-from orchidwind_bench.simulation.events import EventQueue
-from orchidwind_bench.simulation.home import OnOutcome, SimulatedHome
-from orchidwind_bench.simulation.network import Network, NetworkSettings
-from orchidwind_standins.replication import GroupTimings
+from orchidwind_bench.elected.simulation.events import EventQueue
+from orchidwind_bench.elected.simulation.home import OnOutcome, SimulatedHome
+from orchidwind_bench.elected.simulation.network import Network, NetworkSettings
+from orchidwind_standins.elected.replication import GroupTimings
 
 _DEFAULT_CLASS = TrafficClass("default", deadline=4.0)
 
--- a/src/orchidwind_bench/main.py
+++ b/src/orchidwind_bench/main.py
@@ -12,20 +12,20 @@
 import defopt
 import msgspec
 
-from orchidwind.core.commit_barrier import Acknowledge
-from orchidwind_bench import demo as demo_module
-from orchidwind_bench.day import run_day
-from orchidwind_bench.experiments import run_experiment
-from orchidwind_bench.exploration.choices import Schedule
-from orchidwind_bench.exploration.explorer import Explorer
-from orchidwind_bench.exploration.proxy import ProductLogic
-from orchidwind_bench.exploration.world import SCENARIOS, play
-from orchidwind_bench.loaded_run import ExperimentReport, RunOptions
-from orchidwind_bench.platform.soak.instances import InstanceTimes
-from orchidwind_bench.platform.soak.run import read_plan
-from orchidwind_bench.platform.soak.run import soak as run_soak
-from orchidwind_bench.platform.soak.system import SoakSizes
-from orchidwind_standins.platform.replicated_instance import PositionTerm
+from orchidwind.elected.core.commit_barrier import Acknowledge
+from orchidwind_bench.elected import demo as demo_module
+from orchidwind_bench.elected.day import run_day
+from orchidwind_bench.elected.experiments import run_experiment
+from orchidwind_bench.elected.loaded_run import ExperimentReport, RunOptions
+from orchidwind_bench.promoted.exploration.choices import Schedule
+from orchidwind_bench.promoted.exploration.explorer import Explorer
+from orchidwind_bench.promoted.exploration.proxy import ProductLogic
+from orchidwind_bench.promoted.exploration.world import SCENARIOS, play
+from orchidwind_bench.promoted.soak.instances import InstanceTimes
+from orchidwind_bench.promoted.soak.run import read_plan
+from orchidwind_bench.promoted.soak.run import soak as run_soak
+from orchidwind_bench.promoted.soak.system import SoakSizes
+from orchidwind_standins.promoted.replicated_instance import PositionTerm
 
 Experiment = Literal[
     "failover",
--- /dev/null
+++ b/src/orchidwind_bench/promoted/__init__.py
@@ -0,0 +1,1 @@
+"""Simulator, explorer and soak of promoted groups."""
--- a/src/orchidwind_bench/exploration/acknowledgement.py
+++ b/src/orchidwind_bench/promoted/exploration/acknowledgement.py
@@ -10,14 +10,14 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from orchidwind.core.managed.commands import InstanceRole, InstanceStatus
-from orchidwind.core.managed.failover_choice import holds
-from orchidwind.core.managed.roster import PromotionRecord
-from orchidwind.core.managed.topology import GroupTopology
-from orchidwind.core.positions import Position
-from orchidwind.managed.commit_guard import ASK_AGAIN_SECONDS
-from orchidwind_bench.exploration.instances import Commit
-from orchidwind_bench.exploration.timeline import Process
+from orchidwind.promoted.core.commands import InstanceRole, InstanceStatus
+from orchidwind.promoted.core.failover_choice import holds
+from orchidwind.promoted.core.roster import PromotionRecord
+from orchidwind.promoted.core.topology import GroupTopology
+from orchidwind.promoted.group.commit_guard import ASK_AGAIN_SECONDS
+from orchidwind.shared.core.positions import Position
+from orchidwind_bench.promoted.exploration.instances import Commit
+from orchidwind_bench.promoted.exploration.timeline import Process
 
 
 class AcknowledgingProxy(Protocol):
--- a/src/orchidwind_bench/exploration/checks.py
+++ b/src/orchidwind_bench/promoted/exploration/checks.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from enum import Enum, unique
 
-from orchidwind_bench.exploration.instances import Commit, ModelInstance
+from orchidwind_bench.promoted.exploration.instances import Commit, ModelInstance
 
 # A proxy that was paused or cut off so lately may pass on what an old primary still did, in
 # seconds; the first users' rules name it.
--- a/src/orchidwind_bench/exploration/explorer.py
+++ b/src/orchidwind_bench/promoted/exploration/explorer.py
@@ -20,10 +20,10 @@
 from collections.abc import Callable, Collection, Iterable, Iterator, Sequence
 from dataclasses import dataclass, field
 
-from orchidwind_bench.exploration.checks import BrokenPromise
-from orchidwind_bench.exploration.choices import Schedule, without
-from orchidwind_bench.exploration.proxy import ProductLogic
-from orchidwind_bench.exploration.world import SCENARIOS, RunResult, play
+from orchidwind_bench.promoted.exploration.checks import BrokenPromise
+from orchidwind_bench.promoted.exploration.choices import Schedule, without
+from orchidwind_bench.promoted.exploration.proxy import ProductLogic
+from orchidwind_bench.promoted.exploration.world import SCENARIOS, RunResult, play
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/orchidwind_bench/exploration/faults.py
+++ b/src/orchidwind_bench/promoted/exploration/faults.py
@@ -7,11 +7,11 @@
 from functools import partial
 from typing import Protocol
 
-from orchidwind_bench.exploration.instances import ModelGroup, ModelInstance
-from orchidwind_bench.exploration.network import STORE, ModelNetwork
-from orchidwind_bench.exploration.store import ENTRY_OUTLIVES_SECONDS, ModelStore
-from orchidwind_bench.exploration.timeline import Timeline
-from orchidwind_bench.exploration.trace import Trace
+from orchidwind_bench.promoted.exploration.instances import ModelGroup, ModelInstance
+from orchidwind_bench.promoted.exploration.network import STORE, ModelNetwork
+from orchidwind_bench.promoted.exploration.store import ENTRY_OUTLIVES_SECONDS, ModelStore
+from orchidwind_bench.promoted.exploration.timeline import Timeline
+from orchidwind_bench.promoted.exploration.trace import Trace
 
 # A leaving instance ends so long after it has announced that, in seconds.
 LEAVING_SECONDS = 2.0
--- a/src/orchidwind_bench/exploration/instance_calls.py
+++ b/src/orchidwind_bench/promoted/exploration/instance_calls.py
@@ -5,12 +5,12 @@
 from collections.abc import Callable
 from enum import Enum, unique
 
-from orchidwind.core.managed.commands import InstanceStatus
-from orchidwind_bench.exploration.choices import Choices
-from orchidwind_bench.exploration.instances import ModelGroup, ModelInstance
-from orchidwind_bench.exploration.network import WAY_SECONDS, ModelNetwork
-from orchidwind_bench.exploration.timeline import Answers, Timeline
-from orchidwind_bench.exploration.trace import Trace
+from orchidwind.promoted.core.commands import InstanceStatus
+from orchidwind_bench.promoted.exploration.choices import Choices
+from orchidwind_bench.promoted.exploration.instances import ModelGroup, ModelInstance
+from orchidwind_bench.promoted.exploration.network import WAY_SECONDS, ModelNetwork
+from orchidwind_bench.promoted.exploration.timeline import Answers, Timeline
+from orchidwind_bench.promoted.exploration.trace import Trace
 
 # A call that is late arrives after one of these, in seconds: within the caller's patience, under
 # the same holder of the lock, and under the next one.
--- a/src/orchidwind_bench/exploration/instances.py
+++ b/src/orchidwind_bench/promoted/exploration/instances.py
@@ -13,11 +13,11 @@
 from enum import Enum, unique
 from typing import Protocol
 
-from orchidwind.core.managed.commands import InstanceRole, InstanceStatus
-from orchidwind.core.positions import Position
-from orchidwind_bench.exploration.choices import Choices
-from orchidwind_bench.exploration.network import WAY_SECONDS, ModelNetwork
-from orchidwind_bench.exploration.timeline import Timeline
+from orchidwind.promoted.core.commands import InstanceRole, InstanceStatus
+from orchidwind.shared.core.positions import Position
+from orchidwind_bench.promoted.exploration.choices import Choices
+from orchidwind_bench.promoted.exploration.network import WAY_SECONDS, ModelNetwork
+from orchidwind_bench.promoted.exploration.timeline import Timeline
 
 # How often a primary sends its log again to those that lack something, in seconds.
 CATCH_UP_SECONDS = 0.05
--- a/src/orchidwind_bench/exploration/network.py
+++ b/src/orchidwind_bench/promoted/exploration/network.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from orchidwind_bench.exploration.timeline import Timeline
+from orchidwind_bench.promoted.exploration.timeline import Timeline
 
 STORE = "store"
 # One way between two machines of a site, in seconds; 0.2 to 2 ms are usual within a site.
--- a/src/orchidwind_bench/exploration/performer.py
+++ b/src/orchidwind_bench/promoted/exploration/performer.py
@@ -7,8 +7,8 @@
 
 from typing import Protocol
 
-from orchidwind.core.managed.commands import InstanceRole, InstanceStatus
-from orchidwind.core.managed.failover_steps import (
+from orchidwind.promoted.core.commands import InstanceRole, InstanceStatus
+from orchidwind.promoted.core.failover_steps import (
     AskAll,
     AwaitRevocation,
     Demote,
@@ -32,10 +32,10 @@
     UnfenceAll,
     Wait,
 )
-from orchidwind.core.managed.promotion_lock import HeldLock
-from orchidwind.core.managed.roster import PromotionRecord
-from orchidwind_bench.exploration.instance_calls import InstanceOperation
-from orchidwind_bench.exploration.timeline import Process
+from orchidwind.promoted.core.promotion_lock import HeldLock
+from orchidwind.promoted.core.roster import PromotionRecord
+from orchidwind_bench.promoted.exploration.instance_calls import InstanceOperation
+from orchidwind_bench.promoted.exploration.timeline import Process
 
 # The lock is not used for the last of its time, in seconds; as in the product's runner.
 CALL_MARGIN_SECONDS = 0.2
--- a/src/orchidwind_bench/exploration/platform.py
+++ b/src/orchidwind_bench/promoted/exploration/platform.py
@@ -4,13 +4,13 @@
 
 from dataclasses import dataclass
 
-from orchidwind.core.managed.failover_steps import PromotionAnswer
-from orchidwind_bench.exploration.checks import Checks
-from orchidwind_bench.exploration.choices import Choices
-from orchidwind_bench.exploration.instances import ModelGroup
-from orchidwind_bench.exploration.network import WAY_SECONDS
-from orchidwind_bench.exploration.timeline import Answers, Timeline
-from orchidwind_bench.exploration.trace import Trace
+from orchidwind.promoted.core.failover_steps import PromotionAnswer
+from orchidwind_bench.promoted.exploration.checks import Checks
+from orchidwind_bench.promoted.exploration.choices import Choices
+from orchidwind_bench.promoted.exploration.instances import ModelGroup
+from orchidwind_bench.promoted.exploration.network import WAY_SECONDS
+from orchidwind_bench.promoted.exploration.timeline import Answers, Timeline
+from orchidwind_bench.promoted.exploration.trace import Trace
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/orchidwind_bench/exploration/proxy.py
+++ b/src/orchidwind_bench/promoted/exploration/proxy.py
@@ -7,9 +7,9 @@
 from functools import partial
 from typing import Protocol
 
-from orchidwind.core.managed.configuration import DirectoryEntry, ManagedGroupSettings
-from orchidwind.core.managed.failover import change_primary
-from orchidwind.core.managed.failover_steps import (
+from orchidwind.promoted.core.configuration import DirectoryEntry, ManagedGroupSettings
+from orchidwind.promoted.core.failover import change_primary
+from orchidwind.promoted.core.failover_steps import (
     FailoverFlow,
     FailoverOutcome,
     FailoverPlan,
@@ -18,8 +18,8 @@
     PromotionAnswer,
     ToldCommits,
 )
-from orchidwind.core.managed.lead_lease import REVOCATION_WAIT_SECONDS, LeadLease
-from orchidwind.core.managed.promotion_lock import (
+from orchidwind.promoted.core.lead_lease import REVOCATION_WAIT_SECONDS, LeadLease
+from orchidwind.promoted.core.promotion_lock import (
     TAKE_OVER_SECONDS,
     HeldLock,
     LockDecision,
@@ -27,23 +27,26 @@
     LockRecord,
     held_lock,
 )
-from orchidwind.core.managed.roster import PromotionRecord, Roster
-from orchidwind.core.managed.supervision import GroupSupervisor
-from orchidwind.core.managed.topology import GroupTopology, knows_no_later_term
-from orchidwind.core.positions import Position
-from orchidwind.managed.ports import LeaseConfirmation
-from orchidwind_bench.exploration.acknowledgement import AcknowledgementRule, GuardedCommits
-from orchidwind_bench.exploration.checks import THAW_SLACK_SECONDS, Checks
-from orchidwind_bench.exploration.choices import Choices
-from orchidwind_bench.exploration.instance_calls import InstanceCalls, InstanceOperation
-from orchidwind_bench.exploration.instances import Commit, ModelGroup
-from orchidwind_bench.exploration.network import WAY_SECONDS, ModelNetwork
-from orchidwind_bench.exploration.performer import Performer, Statuses
-from orchidwind_bench.exploration.platform import ModelPlatform
-from orchidwind_bench.exploration.shared_query import SharedQuery
-from orchidwind_bench.exploration.store import Conflict, Entry, ModelStore
-from orchidwind_bench.exploration.timeline import Answers, Process, Timeline
-from orchidwind_bench.exploration.trace import Trace
+from orchidwind.promoted.core.roster import PromotionRecord, Roster
+from orchidwind.promoted.core.supervision import GroupSupervisor
+from orchidwind.promoted.core.topology import GroupTopology, knows_no_later_term
+from orchidwind.promoted.ports import LeaseConfirmation
+from orchidwind.shared.core.positions import Position
+from orchidwind_bench.promoted.exploration.acknowledgement import (
+    AcknowledgementRule,
+    GuardedCommits,
+)
+from orchidwind_bench.promoted.exploration.checks import THAW_SLACK_SECONDS, Checks
+from orchidwind_bench.promoted.exploration.choices import Choices
+from orchidwind_bench.promoted.exploration.instance_calls import InstanceCalls, InstanceOperation
+from orchidwind_bench.promoted.exploration.instances import Commit, ModelGroup
+from orchidwind_bench.promoted.exploration.network import WAY_SECONDS, ModelNetwork
+from orchidwind_bench.promoted.exploration.performer import Performer, Statuses
+from orchidwind_bench.promoted.exploration.platform import ModelPlatform
+from orchidwind_bench.promoted.exploration.shared_query import SharedQuery
+from orchidwind_bench.promoted.exploration.store import Conflict, Entry, ModelStore
+from orchidwind_bench.promoted.exploration.timeline import Answers, Process, Timeline
+from orchidwind_bench.promoted.exploration.trace import Trace
 
 GROUP = "ledger"
 # How long a proxy waits for an instance's answer, and less for one that is not expected to answer,
--- a/src/orchidwind_bench/exploration/shared_query.py
+++ b/src/orchidwind_bench/promoted/exploration/shared_query.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Callable
 
-from orchidwind.core.managed.commands import InstanceStatus
-from orchidwind_bench.exploration.timeline import Answers, Owner, Process, Timeline
+from orchidwind.promoted.core.commands import InstanceStatus
+from orchidwind_bench.promoted.exploration.timeline import Answers, Owner, Process, Timeline
 
 # Nobody waits longer for a shared query, in seconds.
 _PATIENCE_SECONDS = 1.0
--- a/src/orchidwind_bench/exploration/store.py
+++ b/src/orchidwind_bench/promoted/exploration/store.py
@@ -11,13 +11,13 @@
 from enum import Enum, unique
 from functools import partial
 
-from orchidwind.core.managed.promotion_lock import LockRecord
-from orchidwind.core.managed.roster import Roster
-from orchidwind.managed.ports import LeaseConfirmation
-from orchidwind_bench.exploration.choices import Choices
-from orchidwind_bench.exploration.instances import ModelInstance
-from orchidwind_bench.exploration.network import STORE, WAY_SECONDS, ModelNetwork
-from orchidwind_bench.exploration.timeline import Answers, Process, Timeline
+from orchidwind.promoted.core.promotion_lock import LockRecord
+from orchidwind.promoted.core.roster import Roster
+from orchidwind.promoted.ports import LeaseConfirmation
+from orchidwind_bench.promoted.exploration.choices import Choices
+from orchidwind_bench.promoted.exploration.instances import ModelInstance
+from orchidwind_bench.promoted.exploration.network import STORE, WAY_SECONDS, ModelNetwork
+from orchidwind_bench.promoted.exploration.timeline import Answers, Process, Timeline
 
 # When a proxy gives up a call of the store, in seconds; as in the product's settings.
 CALL_SECONDS = 1.0
--- a/src/orchidwind_bench/exploration/world.py
+++ b/src/orchidwind_bench/promoted/exploration/world.py
@@ -5,19 +5,19 @@
 from dataclasses import dataclass
 from functools import partial
 
-from orchidwind.core.managed.failover_steps import FailoverStep
-from orchidwind.core.managed.roster import PromotionRecord
-from orchidwind_bench.exploration.checks import Checks, Violation
-from orchidwind_bench.exploration.choices import Choices, OpenChoice, Schedule
-from orchidwind_bench.exploration.faults import Faults
-from orchidwind_bench.exploration.instance_calls import InstanceCalls
-from orchidwind_bench.exploration.instances import ModelGroup, ModelInstance, PositionTerm
-from orchidwind_bench.exploration.network import ModelNetwork
-from orchidwind_bench.exploration.platform import ModelPlatform
-from orchidwind_bench.exploration.proxy import ModelProxy, ProductLogic, Surroundings
-from orchidwind_bench.exploration.store import ModelStore
-from orchidwind_bench.exploration.timeline import Timeline
-from orchidwind_bench.exploration.trace import Trace
+from orchidwind.promoted.core.failover_steps import FailoverStep
+from orchidwind.promoted.core.roster import PromotionRecord
+from orchidwind_bench.promoted.exploration.checks import Checks, Violation
+from orchidwind_bench.promoted.exploration.choices import Choices, OpenChoice, Schedule
+from orchidwind_bench.promoted.exploration.faults import Faults
+from orchidwind_bench.promoted.exploration.instance_calls import InstanceCalls
+from orchidwind_bench.promoted.exploration.instances import ModelGroup, ModelInstance, PositionTerm
+from orchidwind_bench.promoted.exploration.network import ModelNetwork
+from orchidwind_bench.promoted.exploration.platform import ModelPlatform
+from orchidwind_bench.promoted.exploration.proxy import ModelProxy, ProductLogic, Surroundings
+from orchidwind_bench.promoted.exploration.store import ModelStore
+from orchidwind_bench.promoted.exploration.timeline import Timeline
+from orchidwind_bench.promoted.exploration.trace import Trace
 
 INSTANCES = ("i-0", "i-1", "i-2")
 JOINING = ("i-3",)
--- a/src/orchidwind_bench/managed/callers.py
+++ b/src/orchidwind_bench/promoted/simulation/callers.py
@@ -6,17 +6,17 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from orchidwind.core.errors import ANSWERS, ErrorKind, Ran, RequestError
-from orchidwind.core.managed.commands import Command, CommandKind, CommandResult
-from orchidwind.core.managed.configuration import ReadConsistency
-from orchidwind.core.managed.homes import ProxyMember
-from orchidwind.managed.executor import SessionExecutor
-from orchidwind.managed.node import ManagedNode
-from orchidwind.managed.ports import NodePorts
-from orchidwind_bench.managed.connections import SimulatedConnector
-from orchidwind_bench.managed.groups import SimulatedGroup
-from orchidwind_bench.managed.peers import SimulatedLinks, SimulatedPeerConnector
-from orchidwind_bench.managed.world import (
+from orchidwind.promoted.callers.executor import SessionExecutor
+from orchidwind.promoted.core.commands import Command, CommandKind, CommandResult
+from orchidwind.promoted.core.configuration import ReadConsistency
+from orchidwind.promoted.core.homes import ProxyMember
+from orchidwind.promoted.node import ManagedNode
+from orchidwind.promoted.ports import NodePorts
+from orchidwind.shared.core.errors import ANSWERS, ErrorKind, Ran, RequestError
+from orchidwind_bench.promoted.simulation.connections import SimulatedConnector
+from orchidwind_bench.promoted.simulation.groups import SimulatedGroup
+from orchidwind_bench.promoted.simulation.peers import SimulatedLinks, SimulatedPeerConnector
+from orchidwind_bench.promoted.simulation.world import (
     CONNECTION_LIMIT,
     ExpectedRequest,
     SimulatedConfiguration,
--- a/src/orchidwind_bench/managed/connections.py
+++ b/src/orchidwind_bench/promoted/simulation/connections.py
@@ -7,8 +7,7 @@
 from dataclasses import dataclass, field
 from typing import Any, TypeVar
 
-from orchidwind.core.errors import BackendConnectionLost, BackendRefused
-from orchidwind.core.managed.commands import (
+from orchidwind.promoted.core.commands import (
     InstanceMessage,
     InstanceRole,
     InstanceStatus,
@@ -17,10 +16,11 @@
     ReplyCode,
     TransactionState,
 )
-from orchidwind.core.managed.configuration import DirectoryEntry
-from orchidwind_bench.managed.groups import SimulatedGroup
-from orchidwind_bench.managed.instances import SimulatedInstance
-from orchidwind_bench.managed.world import ConfirmedCommit, World
+from orchidwind.promoted.core.configuration import DirectoryEntry
+from orchidwind.shared.core.errors import BackendConnectionLost, BackendRefused
+from orchidwind_bench.promoted.simulation.groups import SimulatedGroup
+from orchidwind_bench.promoted.simulation.instances import SimulatedInstance
+from orchidwind_bench.promoted.simulation.world import ConfirmedCommit, World
 
 WORK_SECONDS = 0.004
 CONNECT_SECONDS = 0.012
--- a/src/orchidwind_bench/managed/fleet.py
+++ b/src/orchidwind_bench/promoted/simulation/fleet.py
@@ -12,8 +12,7 @@
 from dataclasses import dataclass, field, replace
 from typing import Any, cast
 
-from orchidwind.core.errors import ANSWERS, ErrorKind, Ran, RequestError
-from orchidwind.core.managed.commands import (
+from orchidwind.promoted.core.commands import (
     Command,
     CommandKind,
     CommandResult,
@@ -21,19 +20,25 @@
     InstanceStatus,
     Reply,
 )
-from orchidwind.core.managed.configuration import DirectoryEntry, ReadConsistency
-from orchidwind.core.managed.failover_steps import PromotionAnswer
-from orchidwind.managed.node import ManagedNode
-from orchidwind.managed.ports import NodePorts
-from orchidwind_bench.managed.callers import ManagedSystem, SimulatedCaller, Tally, check_told
-from orchidwind_bench.managed.connections import SimulatedConnector, SimulatedLink
-from orchidwind_bench.managed.groups import SimulatedGroup
-from orchidwind_bench.managed.store import (
+from orchidwind.promoted.core.configuration import DirectoryEntry, ReadConsistency
+from orchidwind.promoted.core.failover_steps import PromotionAnswer
+from orchidwind.promoted.node import ManagedNode
+from orchidwind.promoted.ports import NodePorts
+from orchidwind.shared.core.errors import ANSWERS, ErrorKind, Ran, RequestError
+from orchidwind_bench.promoted.simulation.callers import (
+    ManagedSystem,
+    SimulatedCaller,
+    Tally,
+    check_told,
+)
+from orchidwind_bench.promoted.simulation.connections import SimulatedConnector, SimulatedLink
+from orchidwind_bench.promoted.simulation.groups import SimulatedGroup
+from orchidwind_bench.promoted.simulation.store import (
     STORE_SECONDS,
     SimulatedStore,
     simulated_configuration,
 )
-from orchidwind_bench.managed.world import History, World
+from orchidwind_bench.promoted.simulation.world import History, World
 
 ZONES = ("zone-a", "zone-b", "zone-c")
 _THINK_SECONDS = 0.3
--- a/src/orchidwind_bench/managed/groups.py
+++ b/src/orchidwind_bench/promoted/simulation/groups.py
@@ -6,12 +6,17 @@
 import random
 from collections.abc import Iterable
 
-from orchidwind.core.managed.commands import InstanceRole
-from orchidwind.core.managed.configuration import DirectoryEntry, ReadConsistency
-from orchidwind_bench.managed.instances import SimulatedInstance
-from orchidwind_bench.managed.replication import Replication
-from orchidwind_bench.managed.store import GROUP
-from orchidwind_bench.managed.world import AcknowledgedCommit, ExpectedRequest, Promotable, World
+from orchidwind.promoted.core.commands import InstanceRole
+from orchidwind.promoted.core.configuration import DirectoryEntry, ReadConsistency
+from orchidwind_bench.promoted.simulation.instances import SimulatedInstance
+from orchidwind_bench.promoted.simulation.replication import Replication
+from orchidwind_bench.promoted.simulation.store import GROUP
+from orchidwind_bench.promoted.simulation.world import (
+    AcknowledgedCommit,
+    ExpectedRequest,
+    Promotable,
+    World,
+)
 
 PROMOTE_SECONDS = 0.3
 SHORTEST_PROMOTE_SECONDS = 0.2
--- a/src/orchidwind_bench/managed/instances.py
+++ b/src/orchidwind_bench/promoted/simulation/instances.py
@@ -6,12 +6,12 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from orchidwind.core.managed.commands import InstanceRole, InstanceStatus
-from orchidwind.core.positions import Position
+from orchidwind.promoted.core.commands import InstanceRole, InstanceStatus
+from orchidwind.shared.core.positions import Position
 
 if TYPE_CHECKING:
-    from orchidwind_bench.managed.connections import SimulatedLink
-    from orchidwind_bench.managed.groups import SimulatedGroup
+    from orchidwind_bench.promoted.simulation.connections import SimulatedLink
+    from orchidwind_bench.promoted.simulation.groups import SimulatedGroup
 
 RECEIVE_SECONDS = 0.001
 PAUSE_LOOK_SECONDS = 0.01
--- a/src/orchidwind_bench/managed/peers.py
+++ b/src/orchidwind_bench/promoted/simulation/peers.py
@@ -7,14 +7,14 @@
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
 
-from orchidwind.core.errors import PeerUnavailable
-from orchidwind.core.managed.homes import ProxyMember
-from orchidwind.core.managed.peer_messages import PeerMessage
-from orchidwind.managed.node import ManagedNode
-from orchidwind.managed.peer_service import LinkWriter, ServedLink
-from orchidwind.network.peer_codec import encode_peer
-from orchidwind_bench.managed.network import LATENCY_SECONDS
-from orchidwind_bench.managed.world import World
+from orchidwind.promoted.core.homes import ProxyMember
+from orchidwind.promoted.core.peer_messages import PeerMessage
+from orchidwind.promoted.node import ManagedNode
+from orchidwind.promoted.peers.peer_codec import encode_peer
+from orchidwind.promoted.peers.peer_service import LinkWriter, ServedLink
+from orchidwind.shared.core.errors import PeerUnavailable
+from orchidwind_bench.promoted.simulation.network import LATENCY_SECONDS
+from orchidwind_bench.promoted.simulation.world import World
 
 
 class SimulatedLinks:
--- a/src/orchidwind_bench/managed/replication.py
+++ b/src/orchidwind_bench/promoted/simulation/replication.py
@@ -6,8 +6,8 @@
 import random
 from collections.abc import Iterable
 
-from orchidwind_bench.managed.instances import SimulatedInstance, common_length
-from orchidwind_bench.managed.network import Network
+from orchidwind_bench.promoted.simulation.instances import SimulatedInstance, common_length
+from orchidwind_bench.promoted.simulation.network import Network
 
 CONFIRM_SECONDS = 0.0005
 # A part takes up to so many times its receiver's usual time.
--- a/src/orchidwind_bench/managed/store.py
+++ b/src/orchidwind_bench/promoted/simulation/store.py
@@ -7,20 +7,20 @@
 from dataclasses import dataclass
 from itertools import count
 
-from orchidwind.core.errors import PlatformError
-from orchidwind.core.managed.configuration import (
+from orchidwind.platform.http_call import ARRIVING_SECONDS
+from orchidwind.promoted.core.configuration import (
     DirectoryEntry,
     ManagedConfiguration,
     ManagedDatabase,
     ManagedGroupSettings,
     ReadConsistency,
 )
-from orchidwind.core.managed.homes import ProxyMember
-from orchidwind.core.managed.promotion_lock import LockRecord
-from orchidwind.core.managed.roster import Roster
-from orchidwind.managed.ports import LeaseConfirmation
-from orchidwind.network.http_call import ARRIVING_SECONDS
-from orchidwind_bench.managed.network import Network
+from orchidwind.promoted.core.homes import ProxyMember
+from orchidwind.promoted.core.promotion_lock import LockRecord
+from orchidwind.promoted.core.roster import Roster
+from orchidwind.promoted.ports import LeaseConfirmation
+from orchidwind.shared.core.errors import PlatformError
+from orchidwind_bench.promoted.simulation.network import Network
 
 STORE = "store"
 STORE_SECONDS = 0.004
--- a/src/orchidwind_bench/managed/virtual_time.py
+++ b/src/orchidwind_bench/promoted/simulation/virtual_time.py
@@ -7,7 +7,7 @@
 from collections.abc import Coroutine
 from typing import Any, TypeVar
 
-from orchidwind.core.errors import OrchidwindError
+from orchidwind.shared.core.errors import OrchidwindError
 
 T = TypeVar("T")
 
--- a/src/orchidwind_bench/managed/world.py
+++ b/src/orchidwind_bench/promoted/simulation/world.py
@@ -7,20 +7,20 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field, replace
 
-from orchidwind.core.errors import PlatformConflict, PlatformError, PlatformUncertain
-from orchidwind.core.managed.configuration import (
+from orchidwind.promoted.core.configuration import (
     DirectoryEntry,
     ManagedConfiguration,
     ReadConsistency,
 )
-from orchidwind.core.managed.failover_steps import PromotionAnswer
-from orchidwind.core.managed.homes import ProxyMember
-from orchidwind.core.managed.promotion_lock import LockRecord
-from orchidwind.core.managed.roster import Roster
-from orchidwind.core.positions import Position
-from orchidwind.managed.ports import Changes, LeaseConfirmation, Listing
-from orchidwind_bench.managed.network import Network
-from orchidwind_bench.managed.store import (
+from orchidwind.promoted.core.failover_steps import PromotionAnswer
+from orchidwind.promoted.core.homes import ProxyMember
+from orchidwind.promoted.core.promotion_lock import LockRecord
+from orchidwind.promoted.core.roster import Roster
+from orchidwind.promoted.ports import Changes, LeaseConfirmation, Listing
+from orchidwind.shared.core.errors import PlatformConflict, PlatformError, PlatformUncertain
+from orchidwind.shared.core.positions import Position
+from orchidwind_bench.promoted.simulation.network import Network
+from orchidwind_bench.promoted.simulation.store import (
     CALL_SECONDS,
     CONFIGURATION_EVENT,
     LOCK_EVENT,
--- a/src/orchidwind_bench/platform/soak/faults.py
+++ b/src/orchidwind_bench/promoted/soak/faults.py
@@ -9,8 +9,8 @@
 from dataclasses import dataclass
 from functools import partial
 
-from orchidwind_bench.platform.soak.instances import InstanceGroup, SoakInstance
-from orchidwind_bench.platform.soak.system import (
+from orchidwind_bench.promoted.soak.instances import InstanceGroup, SoakInstance
+from orchidwind_bench.promoted.soak.system import (
     CONTACT_SECONDS,
     STORE,
     ProxyProcess,
--- a/src/orchidwind_bench/platform/soak/instances.py
+++ b/src/orchidwind_bench/promoted/soak/instances.py
@@ -15,13 +15,13 @@
 import msgspec
 
 from orchidwind_bench.processes import Program, free_ports
-from orchidwind_standins.platform.replicated_instance import (
+from orchidwind_standins.promoted.replicated_instance import (
     PRIMARY,
     REPLICA,
     InstanceSettings,
     PositionTerm,
 )
-from orchidwind_standins.platform.replicated_main import RoleTold, Situation
+from orchidwind_standins.promoted.replicated_main import RoleTold, Situation
 
 HOST = "127.0.0.1"
 ZONES = ("zone-a", "zone-b", "zone-c")
@@ -160,7 +160,7 @@
             position_term=times.position_term,
             step_down_seconds=times.step_down,
         )
-        module = "orchidwind_standins.platform.replicated_main"
+        module = "orchidwind_standins.promoted.replicated_main"
         with (self._folder / f"{instance.name}.log").open("ab") as log:
             process = subprocess.Popen(
                 [
--- a/src/orchidwind_bench/platform/soak/system.py
+++ b/src/orchidwind_bench/promoted/soak/system.py
@@ -16,17 +16,17 @@
 import msgspec
 from tornado.httpserver import HTTPServer
 
-from orchidwind.network.http_call import HttpCallFailed, HttpRequest, http_call
-from orchidwind_bench.platform.soak.directory import Directory
-from orchidwind_bench.platform.soak.instances import (
+from orchidwind.platform.http_call import HttpCallFailed, HttpRequest, http_call
+from orchidwind_bench.processes import Program, free_ports
+from orchidwind_bench.promoted.soak.directory import Directory
+from orchidwind_bench.promoted.soak.instances import (
     HOST,
     ZONES,
     InstanceGroup,
     InstanceTimes,
     SoakInstance,
 )
-from orchidwind_bench.processes import Program, free_ports
-from orchidwind_standins.platform.object_store import StoreState, listen
+from orchidwind_standins.promoted.object_store import StoreState, listen
 
 GROUPS = ("ledger", "stock", "orders")
 DATABASES = {"latest": "primary", "bounded": "bounded_staleness", "own": "read_own_writes"}
--- /dev/null
+++ b/src/orchidwind_standins/elected/__init__.py
@@ -0,0 +1,1 @@
+"""Programs in the place of PostgreSQL and of the object API."""
--- a/src/orchidwind_standins/postgres_main.py
+++ b/src/orchidwind_standins/elected/postgres_main.py
@@ -14,22 +14,22 @@
 from tornado.tcpclient import TCPClient
 from tornado.tcpserver import TCPServer
 
-from orchidwind.core.errors import ErrorKind, RequestError
-from orchidwind.postgres.executor import Executor, SessionParameters
-from orchidwind.postgres.listener import PostgresListener
-from orchidwind.postgres.scram import ScramVerifier
-from orchidwind.postgres.server_session import SessionHost
-from orchidwind_standins import frames, group_settings
-from orchidwind_standins.group_settings import Faults, GroupSettings, InstanceSettings
-from orchidwind_standins.replication import (
+from orchidwind.elected.postgres.executor import Executor, SessionParameters
+from orchidwind.elected.postgres.listener import PostgresListener
+from orchidwind.elected.postgres.scram import ScramVerifier
+from orchidwind.elected.postgres.server_session import SessionHost
+from orchidwind.shared.core.errors import ErrorKind, RequestError
+from orchidwind_standins.elected import frames, group_settings
+from orchidwind_standins.elected.group_settings import Faults, GroupSettings, InstanceSettings
+from orchidwind_standins.elected.replication import (
     Change,
     GroupMessage,
     GroupTimings,
     Instance,
     Outgoing,
 )
-from orchidwind_standins.sql_session import SessionServer, SqlSession
-from orchidwind_standins.sql_store import SqlStore
+from orchidwind_standins.elected.sql_session import SessionServer, SqlSession
+from orchidwind_standins.elected.sql_store import SqlStore
 
 _PEER_QUEUE_BYTES = 512 * 1024 * 1024
 _RECONNECT_SECONDS = 0.1
--- a/src/orchidwind_standins/replication.py
+++ b/src/orchidwind_standins/elected/replication.py
@@ -20,7 +20,7 @@
 
 import msgspec
 
-from orchidwind.core.positions import ORIGIN, Position
+from orchidwind.shared.core.positions import ORIGIN, Position
 
 
 class Change(msgspec.Struct, frozen=True, array_like=True):
--- a/src/orchidwind_standins/sql_session.py
+++ b/src/orchidwind_standins/elected/sql_session.py
@@ -11,32 +11,37 @@
 
 from pg_mimic.types import TEXT
 
-from orchidwind.core.errors import ErrorKind, RequestError
-from orchidwind.core.positions import format_lsn
-from orchidwind.core.sql_text import split_statements
-from orchidwind.postgres import wire
-from orchidwind.postgres.executor import (
+from orchidwind.elected.core.sql_text import split_statements
+from orchidwind.elected.postgres import wire
+from orchidwind.elected.postgres.executor import (
     Description,
     Executor,
     ResultSink,
     SessionParameters,
     Statement,
 )
-from orchidwind.postgres.wire import Column, codec
-from orchidwind_standins.replication import Change, Instance
-from orchidwind_standins.sql_store import (
+from orchidwind.elected.postgres.wire import Column, codec
+from orchidwind.shared.core.errors import ErrorKind, RequestError
+from orchidwind.shared.core.positions import format_lsn
+from orchidwind_standins.elected.replication import Change, Instance
+from orchidwind_standins.elected.sql_store import (
     FORGET_TABLE,
     REMEMBER_COLUMN,
     SqlFunction,
     SqlStore,
     touches_catalog,
 )
-from orchidwind_standins.sql_translation import (
+from orchidwind_standins.elected.sql_translation import (
     NOW_MARKER,
     Translated,
     TranslationError,
 )
-from orchidwind_standins.sql_types import TYPE_SIZES, SqlValue, decode_parameter, encode_result
+from orchidwind_standins.elected.sql_types import (
+    TYPE_SIZES,
+    SqlValue,
+    decode_parameter,
+    encode_result,
+)
 
 _ROWS_A_CHUNK = 500
 _SLEEP = re.compile(r"^\s*select\s+pg_sleep\(\s*([\d.]+)\s*\)\s*;?\s*$", re.IGNORECASE)
--- a/src/orchidwind_standins/sql_store.py
+++ b/src/orchidwind_standins/elected/sql_store.py
@@ -13,8 +13,8 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from orchidwind_standins.replication import Change, LogRecord
-from orchidwind_standins.sql_translation import CATALOG_TABLE, Catalog, Translator
+from orchidwind_standins.elected.replication import Change, LogRecord
+from orchidwind_standins.elected.sql_translation import CATALOG_TABLE, Catalog, Translator
 
 _CATALOG_SCHEMA = (
     f"CREATE TABLE {CATALOG_TABLE} (table_name TEXT, column_name TEXT, oid INTEGER,"
--- a/src/orchidwind_standins/sql_translation.py
+++ b/src/orchidwind_standins/elected/sql_translation.py
@@ -10,8 +10,8 @@
 from sqlglot import exp, parse_one
 from sqlglot.errors import ParseError, TokenError
 
-from orchidwind.core.sql_text import space_parameters
-from orchidwind_standins.sql_types import oid_of, sqlite_type
+from orchidwind.elected.core.sql_text import space_parameters
+from orchidwind_standins.elected.sql_types import oid_of, sqlite_type
 
 CATALOG_TABLE = "standin_catalog"
 NOW_MARKER = "'@@now@@'"
--- /dev/null
+++ b/src/orchidwind_standins/promoted/__init__.py
@@ -0,0 +1,1 @@
+"""Programs in the place of instances and of the store of promoted groups."""
--- a/src/orchidwind_standins/platform/line_session.py
+++ b/src/orchidwind_standins/promoted/line_session.py
@@ -8,7 +8,7 @@
 
 import asyncio
 
-from orchidwind_standins.platform.replicated_instance import PRIMARY, ReplicatedInstance
+from orchidwind_standins.promoted.replicated_instance import PRIMARY, ReplicatedInstance
 
 _READY_STATES = {None: "I", False: "T", True: "E"}
 _CONTROL = ("STATUS", "PAUSE", "RESUME", "DEMOTE")
--- a/src/orchidwind_standins/platform/replicated_instance.py
+++ b/src/orchidwind_standins/promoted/replicated_instance.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from orchidwind_standins.platform.replicated_log import (
+from orchidwind_standins.promoted.replicated_log import (
     Journal,
     LogEntry,
     Runs,
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -7,7 +7,7 @@
 import pytest
 from hypothesis import HealthCheck, settings
 
-from orchidwind_bench.deployment import CALLER, CALLER_PASSWORD, Deployment, DeploymentPlan
+from orchidwind_bench.elected.deployment import CALLER, CALLER_PASSWORD, Deployment, DeploymentPlan
 from orchidwind_bench.processes import Programs
 
 CHECKS = [HealthCheck.too_slow, HealthCheck.data_too_large]
--- a/tests/test_bad_input.py
+++ b/tests/elected/test_bad_input.py
@@ -12,8 +12,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from orchidwind.network import codec
-from orchidwind.postgres.wire import FrameReader, ProtocolViolation
+from orchidwind.elected.network import codec
+from orchidwind.elected.postgres.wire import FrameReader, ProtocolViolation
 
 SILENT_CONNECTIONS = 5_000
 
--- a/tests/test_checks_bite.py
+++ b/tests/elected/test_checks_bite.py
@@ -5,12 +5,12 @@
 
 from dataclasses import replace
 
-from orchidwind.core import flows, home_group, routing, steps
-from orchidwind.core.configuration_history import Adopt, ConfigurationHistory
-from orchidwind.core.home_group import HomeGroup
-from orchidwind.core.positions import ORIGIN, Position
-from orchidwind.core.statements import Floor, FloorMode, RequestKind
-from orchidwind_bench.checkers import (
+from orchidwind.elected.core import flows, home_group, routing, steps
+from orchidwind.elected.core.configuration_history import Adopt, ConfigurationHistory
+from orchidwind.elected.core.home_group import HomeGroup
+from orchidwind.elected.core.statements import Floor, FloorMode, RequestKind
+from orchidwind.shared.core.positions import ORIGIN, Position
+from orchidwind_bench.elected.checkers import (
     History,
     ReadEvent,
     Result,
@@ -21,9 +21,9 @@
     check_not_run,
     check_read_your_writes,
 )
-from orchidwind_bench.simulation.members import sample_configuration
-from orchidwind_bench.simulation.system import SimulatedSystem
-from orchidwind_standins.replication import GroupTimings
+from orchidwind_bench.elected.simulation.members import sample_configuration
+from orchidwind_bench.elected.simulation.system import SimulatedSystem
+from orchidwind_standins.elected.replication import GroupTimings
 
 ZONES = ["a", "b", "c"]
 
--- a/tests/test_core.py
+++ b/tests/elected/test_core.py
@@ -4,31 +4,31 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from orchidwind.core.admission import AdmissionQueue, Refusal, TrafficClass
-from orchidwind.core.caller_session import AskToken, CallerSession, Forward, LocalAnswer
-from orchidwind.core.classification import StatementKind, classify
-from orchidwind.core.commit_barrier import (
+from orchidwind.elected.core.caller_session import AskToken, CallerSession, Forward, LocalAnswer
+from orchidwind.elected.core.classification import StatementKind, classify
+from orchidwind.elected.core.commit_barrier import (
     Acknowledge,
     CommitBarrier,
     Confirmed,
     PendingCommit,
     Superseded,
 )
-from orchidwind.core.configuration import DatabaseSettings, InstanceAddress, ZoneSettings
-from orchidwind.core.configuration_history import (
+from orchidwind.elected.core.configuration import DatabaseSettings, InstanceAddress, ZoneSettings
+from orchidwind.elected.core.configuration_history import (
     FETCH_SECONDS,
     Adopt,
     ConfigurationHistory,
     FetchFrom,
     FetchTurn,
 )
-from orchidwind.core.errors import ANSWERS, ErrorKind, Ran, RequestError
-from orchidwind.core.group_view import GroupView, InstanceReport
-from orchidwind.core.placement import Node, Placement
-from orchidwind.core.pool import CloseConnection, Grant, InstancePool, OpenConnection
-from orchidwind.core.positions import ORIGIN, Position
-from orchidwind.core.statements import FloorMode, Outcome
-from orchidwind_bench.simulation.members import sample_configuration
+from orchidwind.elected.core.group_view import GroupView, InstanceReport
+from orchidwind.elected.core.placement import Node, Placement
+from orchidwind.elected.core.statements import FloorMode, Outcome
+from orchidwind.shared.core.admission import AdmissionQueue, Refusal, TrafficClass
+from orchidwind.shared.core.errors import ANSWERS, ErrorKind, Ran, RequestError
+from orchidwind.shared.core.pool import CloseConnection, Grant, InstancePool, OpenConnection
+from orchidwind.shared.core.positions import ORIGIN, Position
+from orchidwind_bench.elected.simulation.members import sample_configuration
 
 # --- positions and classification ---------------------------------------------------------------
 
--- a/tests/test_home_service.py
+++ b/tests/elected/test_home_service.py
@@ -2,10 +2,10 @@
 
 import asyncio
 
-from orchidwind.core.placement import Node, Placement
-from orchidwind.core.steps import OpenTransaction
-from orchidwind.network.home_service import HomeService
-from orchidwind_bench.simulation.members import sample_configuration
+from orchidwind.elected.core.placement import Node, Placement
+from orchidwind.elected.core.steps import OpenTransaction
+from orchidwind.elected.network.home_service import HomeService
+from orchidwind_bench.elected.simulation.members import sample_configuration
 
 OWN, OTHER = Node("own", "one/a"), Node("other", "one/a")
 
--- a/tests/test_membership.py
+++ b/tests/elected/test_membership.py
@@ -4,8 +4,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from orchidwind_bench.simulation.members import MemberCluster, sample_configuration
-from orchidwind_bench.simulation.network import NetworkSettings
+from orchidwind_bench.elected.simulation.members import MemberCluster, sample_configuration
+from orchidwind_bench.elected.simulation.network import NetworkSettings
 
 ZONES = ["one/a", "one/b", "two/c"]
 
--- a/tests/test_overload.py
+++ b/tests/elected/test_overload.py
@@ -2,9 +2,9 @@
 
 from statistics import median
 
-from orchidwind.core.admission import TrafficClass
-from orchidwind_bench.checkers import Result
-from orchidwind_bench.simulation.system import SimulatedSystem
+from orchidwind.shared.core.admission import TrafficClass
+from orchidwind_bench.elected.checkers import Result
+from orchidwind_bench.elected.simulation.system import SimulatedSystem
 
 ZONES = ["a", "b", "c"]
 INGEST = TrafficClass("ingest", weight=8.0, deadline=1.0, queue_bound=40)
--- a/tests/test_promises.py
+++ b/tests/elected/test_promises.py
@@ -3,9 +3,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from orchidwind_bench.checkers import Result, check_all
-from orchidwind_bench.simulation.system import SimulatedSystem
-from orchidwind_standins.replication import GroupTimings
+from orchidwind_bench.elected.checkers import Result, check_all
+from orchidwind_bench.elected.simulation.system import SimulatedSystem
+from orchidwind_standins.elected.replication import GroupTimings
 
 ZONES = ["a", "b", "c"]
 
--- a/tests/test_routing.py
+++ b/tests/elected/test_routing.py
@@ -1,8 +1,8 @@
 """Where a read may run."""
 
-from orchidwind.core.group_view import GroupView, InstanceReport
-from orchidwind.core.positions import Position
-from orchidwind.core.routing import RoutingSettings, choose_read_route
+from orchidwind.elected.core.group_view import GroupView, InstanceReport
+from orchidwind.elected.core.routing import RoutingSettings, choose_read_route
+from orchidwind.shared.core.positions import Position
 
 SETTINGS = RoutingSettings()
 IDLE = {"a": 0, "b": 0, "c": 0}
--- a/tests/test_silent_edge.py
+++ b/tests/elected/test_silent_edge.py
@@ -6,15 +6,15 @@
 
 import pytest
 
-from orchidwind.core.errors import PeerUnavailable
-from orchidwind.core.positions import Position
-from orchidwind.core.statements import Outcome
-from orchidwind.network import codec, link_silence
-from orchidwind.network.backend import ConnectionTarget
-from orchidwind.network.link_server import LinkServer
-from orchidwind.network.peer_link import PeerLink
-from orchidwind.network.sockets import KEEPALIVE_IDLE_SECONDS, USER_TIMEOUT_MILLISECONDS
-from orchidwind.postgres.listener import PostgresListener
+from orchidwind.elected.core.statements import Outcome
+from orchidwind.elected.network import codec, link_silence
+from orchidwind.elected.network.backend import ConnectionTarget
+from orchidwind.elected.network.link_server import LinkServer
+from orchidwind.elected.network.peer_link import PeerLink
+from orchidwind.elected.postgres.listener import PostgresListener
+from orchidwind.shared.core.errors import PeerUnavailable
+from orchidwind.shared.core.positions import Position
+from orchidwind.shared.sockets import KEEPALIVE_IDLE_SECONDS, USER_TIMEOUT_MILLISECONDS
 
 HOST = "127.0.0.1"
 PATIENCE_SECONDS = link_silence.SILENT_SECONDS + 2.0
--- a/tests/test_silent_platform_watch.py
+++ b/tests/elected/test_silent_platform_watch.py
@@ -6,9 +6,9 @@
 import msgspec
 import tornado.web
 
-from orchidwind.core.configuration import OperatorFile, ZoneSettings
-from orchidwind.network.platform_client import ConfigurationObject, Metadata, PlatformClient
-from orchidwind.network.platform_watch import LONGEST_WATCH_SECONDS, PlatformWatch
+from orchidwind.elected.core.configuration import OperatorFile, ZoneSettings
+from orchidwind.elected.network.platform_client import ConfigurationObject, Metadata, PlatformClient
+from orchidwind.elected.network.platform_watch import LONGEST_WATCH_SECONDS, PlatformWatch
 
 HOST = "127.0.0.1"
 # docs/DEVELOPERS.md, "The target": in force everywhere within this time.
--- a/tests/test_slot_leases.py
+++ b/tests/elected/test_slot_leases.py
@@ -3,8 +3,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from orchidwind.core import slot_leases
-from orchidwind.core.slot_leases import LEASE_SECONDS, LeaseAnswer, SlotLeases
+from orchidwind.elected.core import slot_leases
+from orchidwind.elected.core.slot_leases import LEASE_SECONDS, LeaseAnswer, SlotLeases
 
 HOMES = ["a", "b", "c"]
 BASE = 3
--- a/tests/test_http_call.py
+++ b/tests/platform/test_http_call.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from orchidwind.network import http_call as calls
-from orchidwind.network.http_call import HttpCallFailed, HttpRequest, http_call
+from orchidwind.platform import http_call as calls
+from orchidwind.platform.http_call import HttpCallFailed, HttpRequest, http_call
 
 PARTS = 5
 PART = b"x" * 1000
--- a/tests/test_line_wire.py
+++ b/tests/platform/test_line_wire.py
@@ -4,8 +4,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from orchidwind.core.errors import ANSWERS, ErrorKind, Ran, RequestError
-from orchidwind.core.managed.commands import (
+from orchidwind.platform import wire
+from orchidwind.promoted.core.commands import (
     Command,
     CommandKind,
     CommandResult,
@@ -17,8 +17,8 @@
     ReplyCode,
     TransactionState,
 )
-from orchidwind.core.positions import Position
-from orchidwind.platform import wire
+from orchidwind.shared.core.errors import ANSWERS, ErrorKind, Ran, RequestError
+from orchidwind.shared.core.positions import Position
 
 PROMISES = {"BUSY", "ABORTED", "LAGGING", "READONLY", "WRONGNODE", "TOOMANYCON"}
 NO_PROMISES = {"INDOUBT", "TIMEOUT", "FAILED"}
--- a/tests/test_soak_promotions.py
+++ b/tests/promoted/soak/test_soak_promotions.py
@@ -6,12 +6,12 @@
 
 import pytest
 
-from orchidwind_bench.platform.soak.faults import FAULTS, PART_STEP, PlannedFault
-from orchidwind_bench.platform.soak.instances import InstanceTimes
-from orchidwind_bench.platform.soak.promotions import draw_promotions
-from orchidwind_bench.platform.soak.run import read_plan, soak
-from orchidwind_bench.platform.soak.system import SoakSizes
-from orchidwind_standins.platform.replicated_instance import PositionTerm
+from orchidwind_bench.promoted.soak.faults import FAULTS, PART_STEP, PlannedFault
+from orchidwind_bench.promoted.soak.instances import InstanceTimes
+from orchidwind_bench.promoted.soak.promotions import draw_promotions
+from orchidwind_bench.promoted.soak.run import read_plan, soak
+from orchidwind_bench.promoted.soak.system import SoakSizes
+from orchidwind_standins.promoted.replicated_instance import PositionTerm
 
 PLANS = Path(__file__).parent / "soak_plans"
 
--- a/tests/test_circuit_breaker.py
+++ b/tests/promoted/test_circuit_breaker.py
@@ -5,13 +5,13 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from orchidwind.core.errors import ANSWERS, Ran, RequestError
-from orchidwind.core.managed.circuit_breaker import PROBE_SECONDS, CircuitBreaker
-from orchidwind.core.managed.commands import Command, CommandKind
-from orchidwind.managed.executor import SessionExecutor
-from orchidwind_bench.managed.callers import ManagedSystem
-from orchidwind_bench.managed.store import STORE
-from orchidwind_bench.managed.virtual_time import run_virtual
+from orchidwind.promoted.callers.executor import SessionExecutor
+from orchidwind.promoted.core.circuit_breaker import PROBE_SECONDS, CircuitBreaker
+from orchidwind.promoted.core.commands import Command, CommandKind
+from orchidwind.shared.core.errors import ANSWERS, Ran, RequestError
+from orchidwind_bench.promoted.simulation.callers import ManagedSystem
+from orchidwind_bench.promoted.simulation.store import STORE
+from orchidwind_bench.promoted.simulation.virtual_time import run_virtual
 
 
 def test_it_opens_after_its_patience_and_closes_with_a_success():
--- a/tests/test_exploration.py
+++ b/tests/promoted/test_exploration.py
@@ -10,22 +10,22 @@
 
 import pytest
 
-from orchidwind.core.managed import failover
-from orchidwind.core.managed.failover import change_primary
-from orchidwind.core.managed.failover_choice import choose_candidate, fenced_replicas
-from orchidwind.core.managed.failover_steps import (
+from orchidwind.promoted.core import failover
+from orchidwind.promoted.core.failover import change_primary
+from orchidwind.promoted.core.failover_choice import choose_candidate, fenced_replicas
+from orchidwind.promoted.core.failover_steps import (
     AwaitRevocation,
     LockLost,
     ReadMembers,
     RecordPromotion,
 )
-from orchidwind.core.managed.promotion_lock import LockObserver
-from orchidwind_bench.exploration.acknowledgement import GuardedCommits, at_once
-from orchidwind_bench.exploration.checks import BrokenPromise
-from orchidwind_bench.exploration.choices import Schedule
-from orchidwind_bench.exploration.explorer import Explorer
-from orchidwind_bench.exploration.proxy import ProductLogic
-from orchidwind_bench.exploration.world import SCENARIOS, play
+from orchidwind.promoted.core.promotion_lock import LockObserver
+from orchidwind_bench.promoted.exploration.acknowledgement import GuardedCommits, at_once
+from orchidwind_bench.promoted.exploration.checks import BrokenPromise
+from orchidwind_bench.promoted.exploration.choices import Schedule
+from orchidwind_bench.promoted.exploration.explorer import Explorer
+from orchidwind_bench.promoted.exploration.proxy import ProductLogic
+from orchidwind_bench.promoted.exploration.world import SCENARIOS, play
 
 PRODUCT = ProductLogic()
 # The whole of this file takes less than a minute; a search that finds nothing ends after this.
--- a/tests/test_fleet_cost.py
+++ b/tests/promoted/test_fleet_cost.py
@@ -4,16 +4,16 @@
 from dataclasses import replace
 from itertools import count
 
-from orchidwind.core.admission import TrafficClass
-from orchidwind.core.managed.commands import Command, CommandKind
-from orchidwind.core.managed.homes import zone_readers
-from orchidwind.core.pool import MOST_OPENING, Grant, InstancePool, OpenConnection
-from orchidwind.managed.executor import SessionExecutor
-from orchidwind.managed.following import NodeBounds
-from orchidwind.managed.views import CONFIGURATION, MEMBERS
-from orchidwind_bench.managed.callers import ManagedSystem
-from orchidwind_bench.managed.store import GROUP
-from orchidwind_bench.managed.virtual_time import run_virtual
+from orchidwind.promoted.callers.executor import SessionExecutor
+from orchidwind.promoted.core.commands import Command, CommandKind
+from orchidwind.promoted.core.homes import zone_readers
+from orchidwind.promoted.views.following import NodeBounds
+from orchidwind.promoted.views.views import CONFIGURATION, MEMBERS
+from orchidwind.shared.core.admission import TrafficClass
+from orchidwind.shared.core.pool import MOST_OPENING, Grant, InstancePool, OpenConnection
+from orchidwind_bench.promoted.simulation.callers import ManagedSystem
+from orchidwind_bench.promoted.simulation.store import GROUP
+from orchidwind_bench.promoted.simulation.virtual_time import run_virtual
 
 FLEET = tuple(f"proxy-{number:02}" for number in range(60))
 SETTLED_SECONDS = 3.0
--- a/tests/test_fleet_silence.py
+++ b/tests/promoted/test_fleet_silence.py
@@ -6,11 +6,12 @@
 
 import pytest
 
-from orchidwind.core.managed import freshness
-from orchidwind.managed import peer_link, resting_connections
-from orchidwind.managed.following import NodeBounds
-from orchidwind_bench.managed.fleet import FleetSystem
-from orchidwind_bench.managed.virtual_time import run_virtual
+from orchidwind.promoted.core import freshness
+from orchidwind.promoted.group import resting_connections
+from orchidwind.promoted.peers import peer_link
+from orchidwind.promoted.views.following import NodeBounds
+from orchidwind_bench.promoted.simulation.fleet import FleetSystem
+from orchidwind_bench.promoted.simulation.virtual_time import run_virtual
 
 PROXIES = 200
 GROUPS = 10
--- a/tests/test_forwarding.py
+++ b/tests/promoted/test_forwarding.py
@@ -6,14 +6,14 @@
 from hypothesis import Phase, given, settings
 from hypothesis import strategies as st
 
-from orchidwind.core.errors import ErrorKind, RequestError
-from orchidwind.core.managed.commands import Command, CommandKind
-from orchidwind.core.managed.peer_loss import after_lost_home
-from orchidwind.core.managed.session import ManagedSession, OpenTransaction
-from orchidwind.managed.executor import SessionExecutor
-from orchidwind_bench.managed.callers import ManagedSystem
-from orchidwind_bench.managed.store import GROUP
-from orchidwind_bench.managed.virtual_time import run_virtual
+from orchidwind.promoted.callers.executor import SessionExecutor
+from orchidwind.promoted.core.commands import Command, CommandKind
+from orchidwind.promoted.core.peer_loss import after_lost_home
+from orchidwind.promoted.core.session import ManagedSession, OpenTransaction
+from orchidwind.shared.core.errors import ErrorKind, RequestError
+from orchidwind_bench.promoted.simulation.callers import ManagedSystem
+from orchidwind_bench.promoted.simulation.store import GROUP
+from orchidwind_bench.promoted.simulation.virtual_time import run_virtual
 
 PROXIES = tuple(f"proxy-{letter}" for letter in "abcdef")
 LIMIT = 12
--- a/tests/test_homes.py
+++ b/tests/promoted/test_homes.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from orchidwind.core.managed.homes import (
+from orchidwind.promoted.core.homes import (
     GROUPS_OF_A_HOME,
     MOST_HOMES_A_ZONE,
     ProxyMember,
--- a/tests/test_large_configurations.py
+++ b/tests/promoted/test_large_configurations.py
@@ -10,15 +10,15 @@
 import pytest
 from msgspec.structs import replace as replace_struct
 
-from orchidwind.core.managed.homes import zone_readers
-from orchidwind.core.managed.peer_messages import ViewQuery, ViewReport
-from orchidwind.managed.following import NodeBounds
-from orchidwind.managed.peer_service import HomePorts, LinkWriter, PeerService
-from orchidwind.managed.sessions import SessionRegistry
-from orchidwind.managed.views import CONFIGURATION
-from orchidwind_bench.managed.callers import ManagedSystem
-from orchidwind_bench.managed.store import STORE
-from orchidwind_bench.managed.virtual_time import run_virtual
+from orchidwind.promoted.callers.sessions import SessionRegistry
+from orchidwind.promoted.core.homes import zone_readers
+from orchidwind.promoted.core.peer_messages import ViewQuery, ViewReport
+from orchidwind.promoted.peers.peer_service import HomePorts, LinkWriter, PeerService
+from orchidwind.promoted.views.following import NodeBounds
+from orchidwind.promoted.views.views import CONFIGURATION
+from orchidwind_bench.promoted.simulation.callers import ManagedSystem
+from orchidwind_bench.promoted.simulation.store import STORE
+from orchidwind_bench.promoted.simulation.virtual_time import run_virtual
 
 FLEET = tuple(f"proxy-{number:02}" for number in range(60))
 BOUND = NodeBounds().configuration
--- a/tests/test_lost_commits.py
+++ b/tests/promoted/test_lost_commits.py
@@ -6,10 +6,10 @@
 
 import pytest
 
-from orchidwind_bench.managed.callers import NODES, ManagedSystem
-from orchidwind_bench.managed.groups import LONGEST_PROMOTE_SECONDS
-from orchidwind_bench.managed.store import STORE
-from orchidwind_bench.managed.virtual_time import run_virtual
+from orchidwind_bench.promoted.simulation.callers import NODES, ManagedSystem
+from orchidwind_bench.promoted.simulation.groups import LONGEST_PROMOTE_SECONDS
+from orchidwind_bench.promoted.simulation.store import STORE
+from orchidwind_bench.promoted.simulation.virtual_time import run_virtual
 
 ANNOUNCED_AFTER_SECONDS = 0.012
 # A frozen primary runs again so long after the promotion was called, and before it takes effect.
--- a/tests/test_managed_core.py
+++ b/tests/promoted/test_managed_core.py
@@ -7,28 +7,27 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from orchidwind.core.admission import TrafficClass
-from orchidwind.core.managed.commands import (
+from orchidwind.promoted.core.commands import (
     Command,
     CommandKind,
     InstanceRole,
     InstanceStatus,
 )
-from orchidwind.core.managed.configuration import (
+from orchidwind.promoted.core.configuration import (
     DirectoryEntry,
     ManagedDatabase,
     ManagedGroupSettings,
     ReadConsistency,
 )
-from orchidwind.core.managed.failover_choice import choose_candidate
-from orchidwind.core.managed.failover_steps import FailoverPlan, FailoverReason
-from orchidwind.core.managed.flow_parts import (
+from orchidwind.promoted.core.failover_choice import choose_candidate
+from orchidwind.promoted.core.failover_steps import FailoverPlan, FailoverReason
+from orchidwind.promoted.core.flow_parts import (
     BUSY_PAUSE_SECONDS,
     CommandContext,
     pause_of_busy,
 )
-from orchidwind.core.managed.lead_lease import LEASE_SECONDS, LeadLease, LockReading
-from orchidwind.core.managed.promotion_lock import (
+from orchidwind.promoted.core.lead_lease import LEASE_SECONDS, LeadLease, LockReading
+from orchidwind.promoted.core.promotion_lock import (
     HOLD_SECONDS,
     TAKE_OVER_SECONDS,
     LockDecision,
@@ -36,11 +35,12 @@
     LockRecord,
     held_lock,
 )
-from orchidwind.core.managed.session import ManagedSession
-from orchidwind.core.managed.supervision import GroupSupervisor
-from orchidwind.core.managed.topology import MAY_CONFIRM_SECONDS, GroupTopology
-from orchidwind.core.pool import CloseConnection, InstancePool, OpenConnection
-from orchidwind.core.positions import Position
+from orchidwind.promoted.core.session import ManagedSession
+from orchidwind.promoted.core.supervision import GroupSupervisor
+from orchidwind.promoted.core.topology import MAY_CONFIRM_SECONDS, GroupTopology
+from orchidwind.shared.core.admission import TrafficClass
+from orchidwind.shared.core.pool import CloseConnection, InstancePool, OpenConnection
+from orchidwind.shared.core.positions import Position
 
 CLASS = TrafficClass("any")
 
--- a/tests/test_managed_promises.py
+++ b/tests/promoted/test_managed_promises.py
@@ -7,16 +7,16 @@
 from hypothesis import Phase, given, settings
 from hypothesis import strategies as st
 
-from orchidwind.core.errors import PlatformError
-from orchidwind.core.managed import failover, lead_lease
-from orchidwind.core.managed.commands import InstanceRole
-from orchidwind.core.managed.promotion_lock import LockRecord
-from orchidwind.managed.lead_lease import LeaseKeeper
-from orchidwind.managed.lead_proofs import LeadProver
-from orchidwind.managed.ports import Changes
-from orchidwind_bench.managed.callers import NODES, ManagedSystem
-from orchidwind_bench.managed.store import STORE
-from orchidwind_bench.managed.virtual_time import run_virtual
+from orchidwind.promoted.core import failover, lead_lease
+from orchidwind.promoted.core.commands import InstanceRole
+from orchidwind.promoted.core.promotion_lock import LockRecord
+from orchidwind.promoted.group.lead_lease import LeaseKeeper
+from orchidwind.promoted.group.lead_proofs import LeadProver
+from orchidwind.promoted.ports import Changes
+from orchidwind.shared.core.errors import PlatformError
+from orchidwind_bench.promoted.simulation.callers import NODES, ManagedSystem
+from orchidwind_bench.promoted.simulation.store import STORE
+from orchidwind_bench.promoted.simulation.virtual_time import run_virtual
 
 
 def play(seed, faults, seconds=8.0, callers_a_node=4, instances=3):
--- a/tests/test_members.py
+++ b/tests/promoted/test_members.py
@@ -5,19 +5,19 @@
 
 import pytest
 
-from orchidwind.core.errors import PeerUnavailable, RequestError
-from orchidwind.core.managed.commands import Command, CommandKind
-from orchidwind.core.managed.freshness import FollowTimes
-from orchidwind.core.managed.homes import ProxyMember, group_homes
-from orchidwind.core.managed.peer_messages import ViewQuery, ViewReport
-from orchidwind.managed.executor import SessionExecutor
-from orchidwind.managed.peer_link import PeerLink
-from orchidwind.managed.peers import FORGET_SECONDS
-from orchidwind.managed.ports import Changes, Listing
-from orchidwind.managed.watch import CollectionWatch
-from orchidwind_bench.managed.callers import ManagedSystem
-from orchidwind_bench.managed.store import GROUP, STORE
-from orchidwind_bench.managed.virtual_time import run_virtual
+from orchidwind.promoted.callers.executor import SessionExecutor
+from orchidwind.promoted.core.commands import Command, CommandKind
+from orchidwind.promoted.core.freshness import FollowTimes
+from orchidwind.promoted.core.homes import ProxyMember, group_homes
+from orchidwind.promoted.core.peer_messages import ViewQuery, ViewReport
+from orchidwind.promoted.peers.peer_link import PeerLink
+from orchidwind.promoted.peers.peers import FORGET_SECONDS
+from orchidwind.promoted.ports import Changes, Listing
+from orchidwind.promoted.views.watch import CollectionWatch
+from orchidwind.shared.core.errors import PeerUnavailable, RequestError
+from orchidwind_bench.promoted.simulation.callers import ManagedSystem
+from orchidwind_bench.promoted.simulation.store import GROUP, STORE
+from orchidwind_bench.promoted.simulation.virtual_time import run_virtual
 
 PROXIES = tuple(f"proxy-{letter}" for letter in "abcdef")
 
--- a/tests/test_peer_streams.py
+++ b/tests/promoted/test_peer_streams.py
@@ -6,16 +6,17 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from orchidwind.core.managed import peer_messages
-from orchidwind.core.managed.commands import PreparedStatement
-from orchidwind.core.managed.configuration import (
+from orchidwind.promoted.callers.sessions import SessionRegistry
+from orchidwind.promoted.core import peer_messages
+from orchidwind.promoted.core.commands import PreparedStatement
+from orchidwind.promoted.core.configuration import (
     DirectoryEntry,
     ManagedDatabase,
     ManagedGroupSettings,
     ReadConsistency,
 )
-from orchidwind.core.managed.homes import ProxyMember
-from orchidwind.core.managed.peer_messages import (
+from orchidwind.promoted.core.homes import ProxyMember
+from orchidwind.promoted.core.peer_messages import (
     Alive,
     CloseChannel,
     CommandAnswer,
@@ -30,11 +31,10 @@
     ViewQuery,
     ViewReport,
 )
-from orchidwind.core.positions import Position
-from orchidwind.managed.peer_service import HomePorts, PeerService
-from orchidwind.managed.sessions import SessionRegistry
-from orchidwind.network.peer_codec import DecodeError, FrameCutter, decode_peer, encode_peer
-from orchidwind.network.peer_streams import PeerListener, PeerStreamConnector
+from orchidwind.promoted.peers.peer_codec import DecodeError, FrameCutter, decode_peer, encode_peer
+from orchidwind.promoted.peers.peer_service import HomePorts, PeerService
+from orchidwind.promoted.peers.peer_streams import PeerListener, PeerStreamConnector
+from orchidwind.shared.core.positions import Position
 from orchidwind_bench.processes import free_ports
 
 numbers = st.integers(0, 2**62)
--- a/tests/test_resting_transactions.py
+++ b/tests/promoted/test_resting_transactions.py
@@ -4,12 +4,12 @@
 
 import pytest
 
-from orchidwind.core.errors import RequestError
-from orchidwind.core.managed.commands import Command, CommandKind, TransactionState
-from orchidwind.managed.executor import SessionExecutor
-from orchidwind_bench.managed.callers import ManagedSystem
-from orchidwind_bench.managed.store import GROUP
-from orchidwind_bench.managed.virtual_time import run_virtual
+from orchidwind.promoted.callers.executor import SessionExecutor
+from orchidwind.promoted.core.commands import Command, CommandKind, TransactionState
+from orchidwind.shared.core.errors import RequestError
+from orchidwind_bench.promoted.simulation.callers import ManagedSystem
+from orchidwind_bench.promoted.simulation.store import GROUP
+from orchidwind_bench.promoted.simulation.virtual_time import run_virtual
 
 PROXIES = tuple(f"proxy-{letter}" for letter in "abcdef")
 IDLE_SECONDS = 3.0  # as the simulated configuration says
--- a/tests/test_silence_told.py
+++ b/tests/promoted/test_silence_told.py
@@ -6,18 +6,18 @@
 import pytest
 
 from orchidwind.commands.explain import read_logs, story
-from orchidwind.core.errors import PlatformError, RequestError
-from orchidwind.core.managed.commands import Command, CommandKind
-from orchidwind.logs import configure_logging, log_event
-from orchidwind.managed.executor import SessionExecutor
-from orchidwind.managed.metrics import ManagedMetrics
 from orchidwind.platform.promotions import PromotionCall
 from orchidwind.platform.store import ObjectStore
-from orchidwind.silence import ConnectionKind
-from orchidwind_bench.managed.callers import ManagedSystem
-from orchidwind_bench.managed.store import GROUP
-from orchidwind_bench.managed.virtual_time import run_virtual
-from orchidwind_standins.platform import object_store
+from orchidwind.promoted.callers.executor import SessionExecutor
+from orchidwind.promoted.core.commands import Command, CommandKind
+from orchidwind.promoted.metrics import ManagedMetrics
+from orchidwind.shared.core.errors import PlatformError, RequestError
+from orchidwind.shared.logs import configure_logging, log_event
+from orchidwind.shared.silence import ConnectionKind
+from orchidwind_bench.promoted.simulation.callers import ManagedSystem
+from orchidwind_bench.promoted.simulation.store import GROUP
+from orchidwind_bench.promoted.simulation.virtual_time import run_virtual
+from orchidwind_standins.promoted import object_store
 
 HOST = "127.0.0.1"
 PROXIES = tuple(f"proxy-{letter}" for letter in "abcdef")
--- a/tests/test_silent_instances.py
+++ b/tests/promoted/test_silent_instances.py
@@ -4,14 +4,14 @@
 
 import pytest
 
-from orchidwind.core.errors import ErrorKind, RequestError
-from orchidwind.core.managed.commands import Command, CommandKind
-from orchidwind.core.managed.configuration import ReadConsistency
-from orchidwind.managed.executor import SessionExecutor
-from orchidwind_bench.managed.callers import ManagedSystem
-from orchidwind_bench.managed.store import GROUP
-from orchidwind_bench.managed.virtual_time import run_virtual
-from orchidwind_bench.managed.world import ExpectedRequest
+from orchidwind.promoted.callers.executor import SessionExecutor
+from orchidwind.promoted.core.commands import Command, CommandKind
+from orchidwind.promoted.core.configuration import ReadConsistency
+from orchidwind.shared.core.errors import ErrorKind, RequestError
+from orchidwind_bench.promoted.simulation.callers import ManagedSystem
+from orchidwind_bench.promoted.simulation.store import GROUP
+from orchidwind_bench.promoted.simulation.virtual_time import run_virtual
+from orchidwind_bench.promoted.simulation.world import ExpectedRequest
 
 INSTANCES = ("i-0", "i-1", "i-2")
 # Silence is noticed after 0.25 s; then writes go on within 0.3 s. The rest is between two writes.
--- a/tests/test_silent_links.py
+++ b/tests/promoted/test_silent_links.py
@@ -5,17 +5,17 @@
 
 import pytest
 
-from orchidwind.core.errors import ErrorKind, PeerUnavailable, RequestError
-from orchidwind.core.managed.commands import Command, CommandKind
-from orchidwind.core.managed.homes import ProxyMember
-from orchidwind.core.managed.peer_messages import Alive, Probe, ViewQuery, ViewReport
-from orchidwind.managed.executor import SessionExecutor
-from orchidwind.managed.following import NodeBounds
-from orchidwind.managed.peer_link import REST_PROBE_SECONDS, SILENT_SECONDS, PeerLink
-from orchidwind.managed.views import CONFIGURATION
-from orchidwind_bench.managed.callers import ManagedSystem
-from orchidwind_bench.managed.store import GROUP
-from orchidwind_bench.managed.virtual_time import run_virtual
+from orchidwind.promoted.callers.executor import SessionExecutor
+from orchidwind.promoted.core.commands import Command, CommandKind
+from orchidwind.promoted.core.homes import ProxyMember
+from orchidwind.promoted.core.peer_messages import Alive, Probe, ViewQuery, ViewReport
+from orchidwind.promoted.peers.peer_link import REST_PROBE_SECONDS, SILENT_SECONDS, PeerLink
+from orchidwind.promoted.views.following import NodeBounds
+from orchidwind.promoted.views.views import CONFIGURATION
+from orchidwind.shared.core.errors import ErrorKind, PeerUnavailable, RequestError
+from orchidwind_bench.promoted.simulation.callers import ManagedSystem
+from orchidwind_bench.promoted.simulation.store import GROUP
+from orchidwind_bench.promoted.simulation.virtual_time import run_virtual
 
 MEMBER = ProxyMember("proxy-b", "zone-b", "proxy-b", 1)
 PROXIES = tuple(f"proxy-{letter}" for letter in "abcdefghi")
--- a/tests/test_simulated_instances.py
+++ b/tests/promoted/test_simulated_instances.py
@@ -4,17 +4,17 @@
 
 import pytest
 
-from orchidwind.core.managed.commands import InstanceMessage, InstanceRole, MessageKind
-from orchidwind.core.managed.configuration import ReadConsistency
-from orchidwind_bench.managed.connections import SimulatedConnector
-from orchidwind_bench.managed.groups import (
+from orchidwind.promoted.core.commands import InstanceMessage, InstanceRole, MessageKind
+from orchidwind.promoted.core.configuration import ReadConsistency
+from orchidwind_bench.promoted.simulation.connections import SimulatedConnector
+from orchidwind_bench.promoted.simulation.groups import (
     DRAIN_SECONDS,
     LONGEST_PROMOTE_SECONDS,
     SHORTEST_PROMOTE_SECONDS,
     SimulatedGroup,
 )
-from orchidwind_bench.managed.virtual_time import run_virtual
-from orchidwind_bench.managed.world import ConfirmedCommit, ExpectedRequest, World
+from orchidwind_bench.promoted.simulation.virtual_time import run_virtual
+from orchidwind_bench.promoted.simulation.world import ConfirmedCommit, ExpectedRequest, World
 
 ZONES = ("zone-a", "zone-b", "zone-c")
 ENTRIES = 100
--- a/tests/test_swallowed_calls.py
+++ b/tests/promoted/test_swallowed_calls.py
@@ -5,15 +5,6 @@
 
 import pytest
 
-from orchidwind.core.errors import PlatformError
-from orchidwind.core.managed.failover_steps import PromotionAnswer
-from orchidwind.core.managed.freshness import FollowTimes
-from orchidwind.core.managed.homes import ProxyMember
-from orchidwind.core.managed.promotion_lock import LockRecord
-from orchidwind.core.managed.roster import Roster
-from orchidwind.managed.following import NodeBounds
-from orchidwind.managed.hedging import MOST_CALLS, Arrival, hedged
-from orchidwind.managed.ports import LeaseConfirmation
 from orchidwind.platform.coordination import (
     LeaseObjects,
     MemberObjects,
@@ -23,7 +14,16 @@
 )
 from orchidwind.platform.promotions import PromotionCall
 from orchidwind.platform.store import CALL_SECONDS, ObjectStore, WatchedKind
-from orchidwind_standins.platform import object_store
+from orchidwind.promoted.core.failover_steps import PromotionAnswer
+from orchidwind.promoted.core.freshness import FollowTimes
+from orchidwind.promoted.core.homes import ProxyMember
+from orchidwind.promoted.core.promotion_lock import LockRecord
+from orchidwind.promoted.core.roster import Roster
+from orchidwind.promoted.ports import LeaseConfirmation
+from orchidwind.promoted.views.following import NodeBounds
+from orchidwind.promoted.views.hedging import MOST_CALLS, Arrival, hedged
+from orchidwind.shared.core.errors import PlatformError
+from orchidwind_standins.promoted import object_store
 
 HOST = "127.0.0.1"
 # Of the views that bound a call by a share of a promise, the one with the shortest promise.
--- a/tests/test_untold_commits.py
+++ b/tests/promoted/test_untold_commits.py
@@ -8,7 +8,7 @@
 import pytest
 from test_lost_commits import NODES, crash_and_leave, cut_proxies, deafen, drain, once, play
 
-from orchidwind_bench.managed.store import STORE
+from orchidwind_bench.promoted.simulation.store import STORE
 
 
 def part_old_primary(system):
--- a/tests/test_view_freshness.py
+++ b/tests/promoted/test_view_freshness.py
@@ -7,15 +7,15 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from orchidwind.core.managed.freshness import FollowTimes
-from orchidwind.core.managed.homes import zone_readers
-from orchidwind.managed.following import NodeBounds, NodeViews
-from orchidwind.managed.supervising import GroupSupervision
-from orchidwind.managed.views import CONFIGURATION
-from orchidwind_bench.managed.callers import ManagedSystem
-from orchidwind_bench.managed.store import STORE
-from orchidwind_bench.managed.virtual_time import run_virtual
-from orchidwind_bench.managed.world import SimulatedConfiguration, World
+from orchidwind.promoted.core.freshness import FollowTimes
+from orchidwind.promoted.core.homes import zone_readers
+from orchidwind.promoted.group.supervising import GroupSupervision
+from orchidwind.promoted.views.following import NodeBounds, NodeViews
+from orchidwind.promoted.views.views import CONFIGURATION
+from orchidwind_bench.promoted.simulation.callers import ManagedSystem
+from orchidwind_bench.promoted.simulation.store import STORE
+from orchidwind_bench.promoted.simulation.virtual_time import run_virtual
+from orchidwind_bench.promoted.simulation.world import SimulatedConfiguration, World
 
 PROXIES = tuple(f"proxy-{letter}" for letter in "abcdef")
 BOUND = NodeBounds().configuration
--- a/tests/test_view_parts.py
+++ b/tests/promoted/test_view_parts.py
@@ -6,13 +6,13 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from orchidwind.core.errors import PlatformError
-from orchidwind.core.managed.freshness import FollowTimes, ViewAge
-from orchidwind.core.managed.homes import ProxyMember, zone_readers
-from orchidwind.managed.hedging import MOST_CALLS, Arrival, hedged
-from orchidwind.managed.ports import Changes, Listing
-from orchidwind.managed.watch import CollectionWatch, ToldView
-from orchidwind_bench.managed.virtual_time import run_virtual
+from orchidwind.promoted.core.freshness import FollowTimes, ViewAge
+from orchidwind.promoted.core.homes import ProxyMember, zone_readers
+from orchidwind.promoted.ports import Changes, Listing
+from orchidwind.promoted.views.hedging import MOST_CALLS, Arrival, hedged
+from orchidwind.promoted.views.watch import CollectionWatch, ToldView
+from orchidwind.shared.core.errors import PlatformError
+from orchidwind_bench.promoted.simulation.virtual_time import run_virtual
 
 
 def test_the_times_of_a_view_leave_a_part_of_its_bound():
--- a/tests/test_concurrency_window.py
+++ b/tests/shared/test_concurrency_window.py
@@ -5,9 +5,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from orchidwind.core.admission import Refusal, TrafficClass
-from orchidwind.core.concurrency_window import FIRST_WINDOW, ConcurrencyWindow
-from orchidwind.core.pool import Grant, InstancePool, OpenConnection
+from orchidwind.shared.core.admission import Refusal, TrafficClass
+from orchidwind.shared.core.concurrency_window import FIRST_WINDOW, ConcurrencyWindow
+from orchidwind.shared.core.pool import Grant, InstancePool, OpenConnection
 
 CLASS = TrafficClass("any")
 HIGH = TrafficClass("high", weight=8.0)
--- a/tests/test_logs_and_explain.py
+++ b/tests/shared/test_logs_and_explain.py
@@ -8,9 +8,9 @@
 import pytest
 
 from orchidwind.commands.explain import RequestNotFound, read_logs, story
-from orchidwind.core.errors import SettingsError
-from orchidwind.logs import NonBlockingHandler, configure_logging, log_event
 from orchidwind.platform.settings import load_platform_settings
+from orchidwind.shared.core.errors import SettingsError
+from orchidwind.shared.logs import NonBlockingHandler, configure_logging, log_event
 
 
 def record(text):
