--- a/src/orchidwind/commands/operations.py
+++ b/src/orchidwind/commands/operations.py
@@ -9,7 +9,11 @@
 from tornado.httpclient import AsyncHTTPClient, HTTPClientError
 
 from orchidwind.elected.core.configuration import OperatorFile, parse_operator_file
-from orchidwind.elected.network.platform_client import ConfigurationObject, Metadata, PlatformClient
+from orchidwind.elected.network.object_api_client import (
+    ConfigurationObject,
+    Metadata,
+    PlatformClient,
+)
 from orchidwind.shared.core.errors import PlatformConflict, PlatformError, SettingsError
 
 _ATTEMPTS = 5
--- a/src/orchidwind/elected/daemon.py
+++ b/src/orchidwind/elected/daemon.py
@@ -13,6 +13,8 @@
 from orchidwind.elected.network.group_runner import GroupRunner
 from orchidwind.elected.network.home_service import HomeService
 from orchidwind.elected.network.link_server import LinkServer
+from orchidwind.elected.network.object_api_client import PlatformClient
+from orchidwind.elected.network.object_api_watch import PlatformWatch
 from orchidwind.elected.network.operator_http import (
     DatabaseStatus,
     InstanceStatus,
@@ -20,8 +22,6 @@
     Operated,
     ProxyStatus,
 )
-from orchidwind.elected.network.platform_client import PlatformClient
-from orchidwind.elected.network.platform_watch import PlatformWatch
 from orchidwind.elected.postgres.executor import Executor, SessionParameters
 from orchidwind.elected.postgres.listener import PostgresListener
 from orchidwind.elected.postgres.scram import ScramVerifier
--- a/src/orchidwind/elected/network/platform_watch.py
+++ b/src/orchidwind/elected/network/object_api_watch.py
@@ -7,7 +7,7 @@
 
 from orchidwind.elected.metrics import Metrics
 from orchidwind.elected.network.cluster import Cluster
-from orchidwind.elected.network.platform_client import ConfigurationObject, PlatformClient
+from orchidwind.elected.network.object_api_client import ConfigurationObject, PlatformClient
 from orchidwind.shared.core.errors import PlatformError, PlatformVersionGone
 from orchidwind.shared.logs import log_event
 
--- a/src/orchidwind/platform/callers.py
+++ b/src/orchidwind/platform/callers.py
@@ -8,10 +8,10 @@
 from tornado.tcpserver import TCPServer
 
 from orchidwind.platform import wire
-from orchidwind.promoted.callers.executor import SessionExecutor
-from orchidwind.promoted.callers.sessions import SessionRegistry
+from orchidwind.promoted.callers.session_executor import SessionExecutor
+from orchidwind.promoted.callers.session_registry import SessionRegistry
 from orchidwind.promoted.core.commands import Command, TransactionState
-from orchidwind.promoted.node import ManagedNode
+from orchidwind.promoted.proxy_runtime import ManagedNode
 from orchidwind.shared.core.errors import ErrorKind, RequestError
 from orchidwind.shared.logs import log_event
 from orchidwind.shared.sockets import watchful
--- a/src/orchidwind/platform/main.py
+++ b/src/orchidwind/platform/main.py
@@ -34,10 +34,10 @@
 from orchidwind.platform.store import MILLISECONDS, ObjectStore, WatchedKind
 from orchidwind.promoted.core.homes import ProxyMember
 from orchidwind.promoted.metrics import ManagedMetrics
-from orchidwind.promoted.node import ManagedNode
 from orchidwind.promoted.peers.peer_streams import PeerListener, PeerStreamConnector
 from orchidwind.promoted.ports import NodePorts
-from orchidwind.promoted.views.following import NodeBounds
+from orchidwind.promoted.proxy_runtime import ManagedNode
+from orchidwind.promoted.views.followed_views import NodeBounds
 from orchidwind.shared.core.errors import SettingsError
 from orchidwind.shared.logs import configure_logging, log_event
 from orchidwind.shared.settings import parse_address
--- a/src/orchidwind/promoted/callers/command_runner.py
+++ b/src/orchidwind/promoted/callers/command_runner.py
@@ -6,7 +6,7 @@
 import random
 from dataclasses import dataclass
 
-from orchidwind.promoted.callers.driving import drive
+from orchidwind.promoted.callers.flow_driver import drive
 from orchidwind.promoted.core.commands import CommandResult, MessageKind
 from orchidwind.promoted.core.configuration import ManagedDatabase
 from orchidwind.promoted.core.flow_parts import CommandContext
--- a/src/orchidwind/promoted/core/flow_parts.py
+++ b/src/orchidwind/promoted/core/flow_parts.py
@@ -15,7 +15,7 @@
     ReplyCode,
 )
 from orchidwind.promoted.core.configuration import ManagedDatabase
-from orchidwind.promoted.core.group import GroupState
+from orchidwind.promoted.core.group_state import GroupState
 from orchidwind.promoted.core.session import ManagedSession
 from orchidwind.promoted.core.steps import (
     Exchange,
--- a/src/orchidwind/promoted/group/commit_guard.py
+++ b/src/orchidwind/promoted/group/commit_guard.py
@@ -27,7 +27,7 @@
 from orchidwind.promoted.core.commands import InstanceRole, InstanceStatus
 from orchidwind.promoted.core.failover_choice import holds
 from orchidwind.promoted.core.topology import GroupTopology
-from orchidwind.promoted.group.lead_proofs import AskStatus, LeadProver
+from orchidwind.promoted.group.lead_prover import AskStatus, LeadProver
 from orchidwind.promoted.group.shared_query import SharedQuery
 from orchidwind.shared.core.positions import Position
 
--- a/src/orchidwind/promoted/group/connections.py
+++ b/src/orchidwind/promoted/group/connections.py
@@ -8,7 +8,7 @@
 from itertools import count
 from typing import Any, TypeVar
 
-from orchidwind.promoted.core.group import GroupState
+from orchidwind.promoted.core.group_state import GroupState
 from orchidwind.promoted.ports import InstanceConnector, InstanceLink
 from orchidwind.shared.core.admission import Refusal, TrafficClass
 from orchidwind.shared.core.concurrency_window import ConcurrencyWindow
--- a/src/orchidwind/promoted/group/failover_runner.py
+++ b/src/orchidwind/promoted/group/failover_runner.py
@@ -7,7 +7,7 @@
 from collections.abc import Awaitable, Callable, Coroutine
 from typing import Any
 
-from orchidwind.promoted.callers.driving import drive
+from orchidwind.promoted.callers.flow_driver import drive
 from orchidwind.promoted.core.commands import InstanceRole, InstanceStatus
 from orchidwind.promoted.core.failover import change_primary
 from orchidwind.promoted.core.failover_steps import (
@@ -42,8 +42,8 @@
 )
 from orchidwind.promoted.core.roster import PromotionRecord
 from orchidwind.promoted.group.group_service import GroupService
-from orchidwind.promoted.group.lead_lease import LeaseKeeper
-from orchidwind.promoted.group.rosters import RosterKeeper
+from orchidwind.promoted.group.lease_keeper import LeaseKeeper
+from orchidwind.promoted.group.roster_keeper import RosterKeeper
 from orchidwind.promoted.ports import InstanceLink, PromotionLockStore, PromotionService
 from orchidwind.shared.core.errors import (
     PlatformConflict,
--- a/src/orchidwind/promoted/group/group_service.py
+++ b/src/orchidwind/promoted/group/group_service.py
@@ -20,14 +20,14 @@
     ManagedDatabase,
     ManagedGroupSettings,
 )
-from orchidwind.promoted.core.group import GroupState
+from orchidwind.promoted.core.group_state import GroupState
 from orchidwind.promoted.core.steps import ExchangeResult
 from orchidwind.promoted.core.supervision import NOT_CONFIRMING_SECONDS
 from orchidwind.promoted.core.topology import PrimaryView, ReadPlan
 from orchidwind.promoted.group.commit_guard import CommitGuard
 from orchidwind.promoted.group.connections import GroupConnections
-from orchidwind.promoted.group.lead_lease import LeaseKeeper
-from orchidwind.promoted.group.lead_proofs import LeadProver, StatusTask
+from orchidwind.promoted.group.lead_prover import LeadProver, StatusTask
+from orchidwind.promoted.group.lease_keeper import LeaseKeeper
 from orchidwind.promoted.group.resting_connections import RestingConnections
 from orchidwind.promoted.group.status_calls import StatusCall, StatusCalls
 from orchidwind.promoted.metrics import ManagedMetrics
--- a/src/orchidwind/promoted/group/supervising.py
+++ b/src/orchidwind/promoted/group/group_supervision.py
@@ -15,8 +15,8 @@
 from orchidwind.promoted.core.supervision import GroupSupervisor, Look
 from orchidwind.promoted.group.failover_runner import FailoverRunner, PromotionLockClient
 from orchidwind.promoted.group.group_service import GroupService
-from orchidwind.promoted.group.lead_lease import LeaseKeeper
-from orchidwind.promoted.group.rosters import RosterKeeper
+from orchidwind.promoted.group.lease_keeper import LeaseKeeper
+from orchidwind.promoted.group.roster_keeper import RosterKeeper
 from orchidwind.promoted.metrics import ManagedMetrics
 from orchidwind.promoted.ports import PromotionService
 from orchidwind.shared.logs import log_event
--- a/src/orchidwind/promoted/group/lead_proofs.py
+++ b/src/orchidwind/promoted/group/lead_prover.py
@@ -7,7 +7,7 @@
 
 from orchidwind.promoted.core.commands import InstanceStatus
 from orchidwind.promoted.core.topology import GroupTopology, knows_no_later_term
-from orchidwind.promoted.group.lead_lease import LeaseKeeper
+from orchidwind.promoted.group.lease_keeper import LeaseKeeper
 from orchidwind.promoted.group.shared_query import SharedQuery
 
 AskStatus = Callable[[str], Awaitable[InstanceStatus | None]]
--- a/src/orchidwind/promoted/group/lead_lease.py
+++ b/src/orchidwind/promoted/group/lease_keeper.py
@@ -16,7 +16,7 @@
 from orchidwind.promoted.core.peer_messages import LockReport
 from orchidwind.promoted.core.promotion_lock import TAKE_OVER_SECONDS, LockRecord
 from orchidwind.promoted.peers.peer_link import PeerLink
-from orchidwind.promoted.peers.peers import LockReaders
+from orchidwind.promoted.peers.peer_network import LockReaders
 from orchidwind.promoted.ports import (
     Changes,
     LeaseConfirmation,
--- a/src/orchidwind/promoted/peers/peer_service.py
+++ b/src/orchidwind/promoted/peers/peer_service.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from orchidwind.promoted.callers.command_runner import CommandRunner, TimeLimits
-from orchidwind.promoted.callers.sessions import SessionRegistry
+from orchidwind.promoted.callers.session_registry import SessionRegistry
 from orchidwind.promoted.core.answers import transaction_lost
 from orchidwind.promoted.core.commands import (
     Command,
--- a/src/orchidwind/promoted/node.py
+++ b/src/orchidwind/promoted/proxy_runtime.py
@@ -7,7 +7,7 @@
 from collections.abc import Awaitable, Callable, Iterable
 from typing import Any
 
-from orchidwind.promoted.callers.sessions import SessionRegistry
+from orchidwind.promoted.callers.session_registry import SessionRegistry
 from orchidwind.promoted.core.commands import Command
 from orchidwind.promoted.core.configuration import (
     DEFAULT_TRANSACTION_IDLE_SECONDS,
@@ -18,21 +18,21 @@
 from orchidwind.promoted.core.homes import ProxyMember
 from orchidwind.promoted.group.failover_runner import PromotionLockClient
 from orchidwind.promoted.group.group_service import GroupService
-from orchidwind.promoted.group.lead_lease import LeaseKeeper
-from orchidwind.promoted.group.rosters import RosterKeeper
-from orchidwind.promoted.group.status import ManagedStatus, group_status
-from orchidwind.promoted.group.supervising import GroupSupervision
+from orchidwind.promoted.group.group_supervision import GroupSupervision
+from orchidwind.promoted.group.lease_keeper import LeaseKeeper
+from orchidwind.promoted.group.operator_status import ManagedStatus, group_status
+from orchidwind.promoted.group.roster_keeper import RosterKeeper
 from orchidwind.promoted.metrics import ManagedMetrics
+from orchidwind.promoted.peers.peer_network import PeerNetwork
 from orchidwind.promoted.peers.peer_service import HomePorts, PeerService
-from orchidwind.promoted.peers.peers import PeerNetwork
 from orchidwind.promoted.ports import NodePorts
-from orchidwind.promoted.views.following import GATHER_MEMBERS_SECONDS, NodeBounds, NodeViews
-from orchidwind.promoted.views.views import (
+from orchidwind.promoted.views.collection_watch import CollectionWatch
+from orchidwind.promoted.views.followed_views import GATHER_MEMBERS_SECONDS, NodeBounds, NodeViews
+from orchidwind.promoted.views.peer_views import (
     ConfigurationFollower,
     DirectoryFollower,
     ViewReporter,
 )
-from orchidwind.promoted.views.watch import CollectionWatch
 from orchidwind.shared.core.errors import ErrorKind
 from orchidwind.shared.logs import log_event
 
--- a/src/orchidwind/promoted/views/watch.py
+++ b/src/orchidwind/promoted/views/collection_watch.py
@@ -15,7 +15,7 @@
 
 from orchidwind.promoted.core.freshness import FollowTimes, ViewAge
 from orchidwind.promoted.ports import Changes, Listing, WatchedCollection
-from orchidwind.promoted.views.hedging import MOST_CALLS, Arrival, hedged
+from orchidwind.promoted.views.hedged_call import MOST_CALLS, Arrival, hedged
 from orchidwind.shared.core.errors import PlatformError, PlatformVersionGone
 from orchidwind.shared.logs import log_event
 from orchidwind.shared.silence import ConnectionKind, OnSilent, SilentConnection, log_silent
--- a/src/orchidwind/promoted/views/following.py
+++ b/src/orchidwind/promoted/views/followed_views.py
@@ -11,12 +11,13 @@
 from orchidwind.promoted.core.freshness import FollowTimes
 from orchidwind.promoted.core.homes import ProxyMember
 from orchidwind.promoted.core.topology import DEFAULT_ENTRY_OUTLIVES_SECONDS
-from orchidwind.promoted.group.lead_lease import LeaseKeeper
-from orchidwind.promoted.group.rosters import RosterKeeper
+from orchidwind.promoted.group.lease_keeper import LeaseKeeper
+from orchidwind.promoted.group.roster_keeper import RosterKeeper
 from orchidwind.promoted.metrics import ManagedMetrics
-from orchidwind.promoted.peers.peers import PeerNetwork
+from orchidwind.promoted.peers.peer_network import PeerNetwork
 from orchidwind.promoted.ports import NodePorts
-from orchidwind.promoted.views.views import (
+from orchidwind.promoted.views.collection_watch import CollectionFollower, CollectionWatch
+from orchidwind.promoted.views.peer_views import (
     CONFIGURATION,
     DIRECTORY,
     MEMBERS,
@@ -25,7 +26,6 @@
     told_directory,
     told_members,
 )
-from orchidwind.promoted.views.watch import CollectionFollower, CollectionWatch
 
 PROMOTION_LOCK = "promotion_lock"
 ROSTERS = "rosters"
--- a/src/orchidwind/promoted/views/views.py
+++ b/src/orchidwind/promoted/views/peer_views.py
@@ -27,9 +27,9 @@
 )
 from orchidwind.promoted.metrics import ManagedMetrics
 from orchidwind.promoted.peers.peer_link import REST_PROBE_SECONDS, PeerLink
-from orchidwind.promoted.peers.peers import PeerNetwork
+from orchidwind.promoted.peers.peer_network import PeerNetwork
 from orchidwind.promoted.ports import Changes, Listing
-from orchidwind.promoted.views.watch import CollectionWatch, ToldView
+from orchidwind.promoted.views.collection_watch import CollectionWatch, ToldView
 from orchidwind.shared.core.errors import PeerUnavailable
 from orchidwind.shared.logs import log_event
 
--- a/src/orchidwind_bench/promoted/simulation/callers.py
+++ b/src/orchidwind_bench/promoted/simulation/callers.py
@@ -6,12 +6,12 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from orchidwind.promoted.callers.executor import SessionExecutor
+from orchidwind.promoted.callers.session_executor import SessionExecutor
 from orchidwind.promoted.core.commands import Command, CommandKind, CommandResult
 from orchidwind.promoted.core.configuration import ReadConsistency
 from orchidwind.promoted.core.homes import ProxyMember
-from orchidwind.promoted.node import ManagedNode
 from orchidwind.promoted.ports import NodePorts
+from orchidwind.promoted.proxy_runtime import ManagedNode
 from orchidwind.shared.core.errors import ANSWERS, ErrorKind, Ran, RequestError
 from orchidwind_bench.promoted.simulation.connections import SimulatedConnector
 from orchidwind_bench.promoted.simulation.groups import SimulatedGroup
--- a/src/orchidwind_bench/promoted/simulation/fleet.py
+++ b/src/orchidwind_bench/promoted/simulation/fleet.py
@@ -22,8 +22,8 @@
 )
 from orchidwind.promoted.core.configuration import DirectoryEntry, ReadConsistency
 from orchidwind.promoted.core.failover_steps import PromotionAnswer
-from orchidwind.promoted.node import ManagedNode
 from orchidwind.promoted.ports import NodePorts
+from orchidwind.promoted.proxy_runtime import ManagedNode
 from orchidwind.shared.core.errors import ANSWERS, ErrorKind, Ran, RequestError
 from orchidwind_bench.promoted.simulation.callers import (
     ManagedSystem,
--- a/src/orchidwind_bench/promoted/simulation/peers.py
+++ b/src/orchidwind_bench/promoted/simulation/peers.py
@@ -9,9 +9,9 @@
 
 from orchidwind.promoted.core.homes import ProxyMember
 from orchidwind.promoted.core.peer_messages import PeerMessage
-from orchidwind.promoted.node import ManagedNode
 from orchidwind.promoted.peers.peer_codec import encode_peer
 from orchidwind.promoted.peers.peer_service import LinkWriter, ServedLink
+from orchidwind.promoted.proxy_runtime import ManagedNode
 from orchidwind.shared.core.errors import PeerUnavailable
 from orchidwind_bench.promoted.simulation.network import LATENCY_SECONDS
 from orchidwind_bench.promoted.simulation.world import World
--- a/tests/elected/test_silent_platform_watch.py
+++ b/tests/elected/test_silent_object_api_watch.py
@@ -7,8 +7,12 @@
 import tornado.web
 
 from orchidwind.elected.core.configuration import OperatorFile, ZoneSettings
-from orchidwind.elected.network.platform_client import ConfigurationObject, Metadata, PlatformClient
-from orchidwind.elected.network.platform_watch import LONGEST_WATCH_SECONDS, PlatformWatch
+from orchidwind.elected.network.object_api_client import (
+    ConfigurationObject,
+    Metadata,
+    PlatformClient,
+)
+from orchidwind.elected.network.object_api_watch import LONGEST_WATCH_SECONDS, PlatformWatch
 
 HOST = "127.0.0.1"
 # docs/DEVELOPERS.md, "The target": in force everywhere within this time.
--- a/tests/promoted/test_circuit_breaker.py
+++ b/tests/promoted/test_circuit_breaker.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from orchidwind.promoted.callers.executor import SessionExecutor
+from orchidwind.promoted.callers.session_executor import SessionExecutor
 from orchidwind.promoted.core.circuit_breaker import PROBE_SECONDS, CircuitBreaker
 from orchidwind.promoted.core.commands import Command, CommandKind
 from orchidwind.shared.core.errors import ANSWERS, Ran, RequestError
--- a/tests/promoted/test_fleet_cost.py
+++ b/tests/promoted/test_fleet_cost.py
@@ -4,11 +4,11 @@
 from dataclasses import replace
 from itertools import count
 
-from orchidwind.promoted.callers.executor import SessionExecutor
+from orchidwind.promoted.callers.session_executor import SessionExecutor
 from orchidwind.promoted.core.commands import Command, CommandKind
 from orchidwind.promoted.core.homes import zone_readers
-from orchidwind.promoted.views.following import NodeBounds
-from orchidwind.promoted.views.views import CONFIGURATION, MEMBERS
+from orchidwind.promoted.views.followed_views import NodeBounds
+from orchidwind.promoted.views.peer_views import CONFIGURATION, MEMBERS
 from orchidwind.shared.core.admission import TrafficClass
 from orchidwind.shared.core.pool import MOST_OPENING, Grant, InstancePool, OpenConnection
 from orchidwind_bench.promoted.simulation.callers import ManagedSystem
--- a/tests/promoted/test_fleet_silence.py
+++ b/tests/promoted/test_fleet_silence.py
@@ -9,7 +9,7 @@
 from orchidwind.promoted.core import freshness
 from orchidwind.promoted.group import resting_connections
 from orchidwind.promoted.peers import peer_link
-from orchidwind.promoted.views.following import NodeBounds
+from orchidwind.promoted.views.followed_views import NodeBounds
 from orchidwind_bench.promoted.simulation.fleet import FleetSystem
 from orchidwind_bench.promoted.simulation.virtual_time import run_virtual
 
--- a/tests/promoted/test_forwarding.py
+++ b/tests/promoted/test_forwarding.py
@@ -6,7 +6,7 @@
 from hypothesis import Phase, given, settings
 from hypothesis import strategies as st
 
-from orchidwind.promoted.callers.executor import SessionExecutor
+from orchidwind.promoted.callers.session_executor import SessionExecutor
 from orchidwind.promoted.core.commands import Command, CommandKind
 from orchidwind.promoted.core.peer_loss import after_lost_home
 from orchidwind.promoted.core.session import ManagedSession, OpenTransaction
--- a/tests/promoted/test_large_configurations.py
+++ b/tests/promoted/test_large_configurations.py
@@ -10,12 +10,12 @@
 import pytest
 from msgspec.structs import replace as replace_struct
 
-from orchidwind.promoted.callers.sessions import SessionRegistry
+from orchidwind.promoted.callers.session_registry import SessionRegistry
 from orchidwind.promoted.core.homes import zone_readers
 from orchidwind.promoted.core.peer_messages import ViewQuery, ViewReport
 from orchidwind.promoted.peers.peer_service import HomePorts, LinkWriter, PeerService
-from orchidwind.promoted.views.following import NodeBounds
-from orchidwind.promoted.views.views import CONFIGURATION
+from orchidwind.promoted.views.followed_views import NodeBounds
+from orchidwind.promoted.views.peer_views import CONFIGURATION
 from orchidwind_bench.promoted.simulation.callers import ManagedSystem
 from orchidwind_bench.promoted.simulation.store import STORE
 from orchidwind_bench.promoted.simulation.virtual_time import run_virtual
--- a/tests/promoted/test_members.py
+++ b/tests/promoted/test_members.py
@@ -5,15 +5,15 @@
 
 import pytest
 
-from orchidwind.promoted.callers.executor import SessionExecutor
+from orchidwind.promoted.callers.session_executor import SessionExecutor
 from orchidwind.promoted.core.commands import Command, CommandKind
 from orchidwind.promoted.core.freshness import FollowTimes
 from orchidwind.promoted.core.homes import ProxyMember, group_homes
 from orchidwind.promoted.core.peer_messages import ViewQuery, ViewReport
 from orchidwind.promoted.peers.peer_link import PeerLink
-from orchidwind.promoted.peers.peers import FORGET_SECONDS
+from orchidwind.promoted.peers.peer_network import FORGET_SECONDS
 from orchidwind.promoted.ports import Changes, Listing
-from orchidwind.promoted.views.watch import CollectionWatch
+from orchidwind.promoted.views.collection_watch import CollectionWatch
 from orchidwind.shared.core.errors import PeerUnavailable, RequestError
 from orchidwind_bench.promoted.simulation.callers import ManagedSystem
 from orchidwind_bench.promoted.simulation.store import GROUP, STORE
--- a/tests/promoted/test_peer_streams.py
+++ b/tests/promoted/test_peer_streams.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from orchidwind.promoted.callers.sessions import SessionRegistry
+from orchidwind.promoted.callers.session_registry import SessionRegistry
 from orchidwind.promoted.core import peer_messages
 from orchidwind.promoted.core.commands import PreparedStatement
 from orchidwind.promoted.core.configuration import (
--- a/tests/promoted/test_managed_promises.py
+++ b/tests/promoted/test_promoted_promises.py
@@ -10,8 +10,8 @@
 from orchidwind.promoted.core import failover, lead_lease
 from orchidwind.promoted.core.commands import InstanceRole
 from orchidwind.promoted.core.promotion_lock import LockRecord
-from orchidwind.promoted.group.lead_lease import LeaseKeeper
-from orchidwind.promoted.group.lead_proofs import LeadProver
+from orchidwind.promoted.group.lead_prover import LeadProver
+from orchidwind.promoted.group.lease_keeper import LeaseKeeper
 from orchidwind.promoted.ports import Changes
 from orchidwind.shared.core.errors import PlatformError
 from orchidwind_bench.promoted.simulation.callers import NODES, ManagedSystem
--- a/tests/promoted/test_resting_transactions.py
+++ b/tests/promoted/test_resting_transactions.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from orchidwind.promoted.callers.executor import SessionExecutor
+from orchidwind.promoted.callers.session_executor import SessionExecutor
 from orchidwind.promoted.core.commands import Command, CommandKind, TransactionState
 from orchidwind.shared.core.errors import RequestError
 from orchidwind_bench.promoted.simulation.callers import ManagedSystem
--- a/tests/promoted/test_silence_told.py
+++ b/tests/promoted/test_silence_logged.py
@@ -8,7 +8,7 @@
 from orchidwind.commands.explain import read_logs, story
 from orchidwind.platform.promotions import PromotionCall
 from orchidwind.platform.store import ObjectStore
-from orchidwind.promoted.callers.executor import SessionExecutor
+from orchidwind.promoted.callers.session_executor import SessionExecutor
 from orchidwind.promoted.core.commands import Command, CommandKind
 from orchidwind.promoted.metrics import ManagedMetrics
 from orchidwind.shared.core.errors import PlatformError, RequestError
--- a/tests/promoted/test_silent_instances.py
+++ b/tests/promoted/test_silent_instances.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from orchidwind.promoted.callers.executor import SessionExecutor
+from orchidwind.promoted.callers.session_executor import SessionExecutor
 from orchidwind.promoted.core.commands import Command, CommandKind
 from orchidwind.promoted.core.configuration import ReadConsistency
 from orchidwind.shared.core.errors import ErrorKind, RequestError
--- a/tests/promoted/test_silent_links.py
+++ b/tests/promoted/test_silent_links.py
@@ -5,13 +5,13 @@
 
 import pytest
 
-from orchidwind.promoted.callers.executor import SessionExecutor
+from orchidwind.promoted.callers.session_executor import SessionExecutor
 from orchidwind.promoted.core.commands import Command, CommandKind
 from orchidwind.promoted.core.homes import ProxyMember
 from orchidwind.promoted.core.peer_messages import Alive, Probe, ViewQuery, ViewReport
 from orchidwind.promoted.peers.peer_link import REST_PROBE_SECONDS, SILENT_SECONDS, PeerLink
-from orchidwind.promoted.views.following import NodeBounds
-from orchidwind.promoted.views.views import CONFIGURATION
+from orchidwind.promoted.views.followed_views import NodeBounds
+from orchidwind.promoted.views.peer_views import CONFIGURATION
 from orchidwind.shared.core.errors import ErrorKind, PeerUnavailable, RequestError
 from orchidwind_bench.promoted.simulation.callers import ManagedSystem
 from orchidwind_bench.promoted.simulation.store import GROUP
--- a/tests/promoted/test_swallowed_calls.py
+++ b/tests/promoted/test_swallowed_calls.py
@@ -20,8 +20,8 @@
 from orchidwind.promoted.core.promotion_lock import LockRecord
 from orchidwind.promoted.core.roster import Roster
 from orchidwind.promoted.ports import LeaseConfirmation
-from orchidwind.promoted.views.following import NodeBounds
-from orchidwind.promoted.views.hedging import MOST_CALLS, Arrival, hedged
+from orchidwind.promoted.views.followed_views import NodeBounds
+from orchidwind.promoted.views.hedged_call import MOST_CALLS, Arrival, hedged
 from orchidwind.shared.core.errors import PlatformError
 from orchidwind_standins.promoted import object_store
 
--- a/tests/promoted/test_view_freshness.py
+++ b/tests/promoted/test_view_freshness.py
@@ -9,9 +9,9 @@
 
 from orchidwind.promoted.core.freshness import FollowTimes
 from orchidwind.promoted.core.homes import zone_readers
-from orchidwind.promoted.group.supervising import GroupSupervision
-from orchidwind.promoted.views.following import NodeBounds, NodeViews
-from orchidwind.promoted.views.views import CONFIGURATION
+from orchidwind.promoted.group.group_supervision import GroupSupervision
+from orchidwind.promoted.views.followed_views import NodeBounds, NodeViews
+from orchidwind.promoted.views.peer_views import CONFIGURATION
 from orchidwind_bench.promoted.simulation.callers import ManagedSystem
 from orchidwind_bench.promoted.simulation.store import STORE
 from orchidwind_bench.promoted.simulation.virtual_time import run_virtual
--- a/tests/promoted/test_view_parts.py
+++ b/tests/promoted/test_view_parts.py
@@ -9,8 +9,8 @@
 from orchidwind.promoted.core.freshness import FollowTimes, ViewAge
 from orchidwind.promoted.core.homes import ProxyMember, zone_readers
 from orchidwind.promoted.ports import Changes, Listing
-from orchidwind.promoted.views.hedging import MOST_CALLS, Arrival, hedged
-from orchidwind.promoted.views.watch import CollectionWatch, ToldView
+from orchidwind.promoted.views.collection_watch import CollectionWatch, ToldView
+from orchidwind.promoted.views.hedged_call import MOST_CALLS, Arrival, hedged
 from orchidwind.shared.core.errors import PlatformError
 from orchidwind_bench.promoted.simulation.virtual_time import run_virtual
 
