--- a/src/orchidwind/commands/explain.py
+++ b/src/orchidwind/commands/explain.py
@@ -45,10 +45,10 @@
         "peer_link_replaced",
         "primary_changed",
         "promotion_sent",
-        "silence_not_told",
+        "silence_not_confirmed",
         "started",
         "view_current_again",
-        "view_told",
+        "view_reported",
         "view_too_old",
         "watch_connected",
         "watch_given_up",
@@ -147,7 +147,8 @@
     told = [
         line
         for line in lines
-        if line.event == "commits_told" and f"{request_id}@" in line.fields.get("commits", "")
+        if line.event == "commits_acknowledged"
+        and f"{request_id}@" in line.fields.get("commits", "")
     ]
     story: list[str] = []
     for line in told:
--- a/src/orchidwind/elected/core/flow_parts.py
+++ b/src/orchidwind/elected/core/flow_parts.py
@@ -8,12 +8,12 @@
 from orchidwind.elected.core.statements import RunResult, Statement, StatementRequest
 from orchidwind.elected.core.steps import (
     ApplySettings,
-    NeedConnection,
-    NeedPrimary,
     Release,
     Run,
     Step,
     StepResult,
+    WaitForConnection,
+    WaitForPrimary,
 )
 from orchidwind.shared.core.errors import BackendConnectionLost, ErrorKind, RequestError
 
@@ -52,7 +52,7 @@
 ) -> Generator[Step, StepResult, int]:
     """Get a connection that carries the session's settings."""
     try:
-        connection = yield NeedConnection(instance, primary_term)
+        connection = yield WaitForConnection(instance, primary_term)
     except BackendConnectionLost as lost:
         raise Lost(sent=False) from lost
     assert isinstance(connection, int)
@@ -70,7 +70,7 @@
 ) -> Generator[Step, StepResult, tuple[PrimaryReference, int]]:
     """A connection to the primary; nothing was sent yet, so a lost one is simply replaced."""
     while True:
-        primary = yield NeedPrimary()
+        primary = yield WaitForPrimary()
         assert isinstance(primary, PrimaryReference)
         try:
             connection = yield from connect(request, primary.instance, primary.term)
--- a/src/orchidwind/elected/core/flows.py
+++ b/src/orchidwind/elected/core/flows.py
@@ -38,16 +38,16 @@
     BindTransaction,
     EndTransaction,
     Flow,
-    NeedConfirmation,
-    NeedFloor,
-    NeedReplay,
-    NeedRoute,
     OpenTransaction,
     Release,
     Step,
     StepResult,
     Suspect,
     TakeRetry,
+    WaitForConfirmation,
+    WaitForFloor,
+    WaitForReplay,
+    WaitForRoute,
 )
 from orchidwind.shared.core.errors import ErrorKind, RequestError
 from orchidwind.shared.core.positions import ORIGIN, Position
@@ -64,21 +64,21 @@
         asked = True
     while True:
         last = request.floor.last_read_instance
-        route = yield NeedRoute(floor, last)
+        route = yield WaitForRoute(floor, last)
         assert isinstance(route, Route)
         if not asked and last and route.instance != last:
             floor = yield from _fresh_floor(floor, last)
             asked = True
             continue
         if route.must_wait:
-            covered = yield NeedReplay(route.instance, floor)
+            covered = yield WaitForReplay(route.instance, floor)
             if not covered:
                 continue
         return route
 
 
 def _fresh_floor(floor: Position, include: str) -> Generator[Step, StepResult, Position]:
-    position = yield NeedFloor(include)
+    position = yield WaitForFloor(include)
     assert isinstance(position, Position)
     return max(floor, position)
 
@@ -162,7 +162,7 @@
 
 def _confirmed(request: StatementRequest, primary: PrimaryReference, tag: str) -> Flow:
     try:
-        position = yield NeedConfirmation(primary.instance, primary.term)
+        position = yield WaitForConfirmation(primary.instance, primary.term)
     except RequestError as error:
         raise RequestError(
             ErrorKind.OUTCOME_UNKNOWN,
--- a/src/orchidwind/elected/core/home_group.py
+++ b/src/orchidwind/elected/core/home_group.py
@@ -68,7 +68,7 @@
 
 
 # What a request waits for before anything of it was sent.
-_FIRST_WAITS = (steps.NeedPrimary, steps.NeedRoute, steps.NeedConnection)
+_FIRST_WAITS = (steps.WaitForPrimary, steps.WaitForRoute, steps.WaitForConnection)
 
 
 @dataclass(slots=True)
@@ -159,7 +159,7 @@
             return []
         if isinstance(running.waits_for, steps.Run):
             return [CancelConnection(running.waits_for.connection)]
-        if isinstance(running.waits_for, steps.NeedConfirmation):
+        if isinstance(running.waits_for, steps.WaitForConfirmation):
             return []
         error = RequestError(ErrorKind.CANCELLED, "canceling statement due to user request")
         return self._after(now, lambda: self._throw(now, running, error))
@@ -298,7 +298,7 @@
         """Carry out a step: whether it is done at once, and its result."""
         if isinstance(step, _FIRST_WAITS) and not self.is_home:
             raise _moved()
-        if isinstance(step, steps.NeedConnection):
+        if isinstance(step, steps.WaitForConnection):
             return self._need_connection(now, running, step)
         if isinstance(step, steps.Run):
             self._start_run(running, step)
@@ -326,7 +326,7 @@
         result = self._view_result(now, step, now)
         if result is not None:
             return True, result
-        if isinstance(step, steps.NeedConfirmation):
+        if isinstance(step, steps.WaitForConfirmation):
             running.expires_at = max(running.expires_at, now + _CONFIRM_SECONDS)
             commit = PendingCommit(running.request.number, step.instance, step.term, now)
             decisions = self.barrier.add(commit)
@@ -334,29 +334,29 @@
             if decisions:
                 raise RequestError(ErrorKind.OUTCOME_UNKNOWN, "a later term has begun")
             self._poller.want(now, now)
-        elif isinstance(step, steps.NeedFloor):
+        elif isinstance(step, steps.WaitForFloor):
             self._poller.want(now, now)
         return False, None
 
     def _view_result(self, now: float, step: Step, since: float) -> StepResult:
         """What the view can answer now, None to wait."""
-        if isinstance(step, steps.NeedPrimary):
+        if isinstance(step, steps.WaitForPrimary):
             primary = self.view.primary()
             return None if primary is None or primary.instance in self.view.leaving else primary
-        if isinstance(step, steps.NeedRoute):
+        if isinstance(step, steps.WaitForRoute):
             return self._route(now, step)
-        if isinstance(step, steps.NeedFloor):
+        if isinstance(step, steps.WaitForFloor):
             return self._fresh_floor(step, since)
-        if isinstance(step, steps.NeedReplay):
+        if isinstance(step, steps.WaitForReplay):
             return self._replay_result(now, step, since)
         return None
 
-    def _route(self, now: float, step: steps.NeedRoute) -> StepResult:
+    def _route(self, now: float, step: steps.WaitForRoute) -> StepResult:
         load = {name: pool.load for name, pool in self.pools.items() if pool.share > 0}
         routing = self.options.routing
         return choose_read_route(self.view, step.floor, now, load, routing, step.preferred)
 
-    def _fresh_floor(self, step: steps.NeedFloor, since: float) -> Position | None:
+    def _fresh_floor(self, step: steps.WaitForFloor, since: float) -> Position | None:
         included = self.view.reports.get(step.include)
         reachable = step.include and step.include not in self.view.unreachable
         if reachable and (included is None or included.asked_at < since):
@@ -364,7 +364,7 @@
         require_primary = self.options.acknowledge is Acknowledge.CONFIRMED
         return self.view.quorum_floor(since, require_primary)
 
-    def _replay_result(self, now: float, step: steps.NeedReplay, since: float) -> bool | None:
+    def _replay_result(self, now: float, step: steps.WaitForReplay, since: float) -> bool | None:
         report = self.view.reports.get(step.instance)
         if report is None or step.instance in self.view.unreachable:
             return False
@@ -377,7 +377,7 @@
         return None
 
     def _need_connection(
-        self, now: float, running: _Running, step: steps.NeedConnection
+        self, now: float, running: _Running, step: steps.WaitForConnection
     ) -> tuple[bool, StepResult]:
         request = running.request
         running.waits_for = step
@@ -458,7 +458,7 @@
             step = running.waits_for
             if step is None or running.request.number not in self._running:
                 continue
-            if isinstance(step, steps.NeedConnection):
+            if isinstance(step, steps.WaitForConnection):
                 if not self._worth_waiting(step):
                     gone = BackendConnectionLost("the instance is away", sent=False)
                     self._throw(now, running, gone)
@@ -466,10 +466,10 @@
             result = self._view_result(now, step, running.since)
             if result is not None:
                 self._advance(now, running, result)
-            elif isinstance(step, steps.NeedFloor):
+            elif isinstance(step, steps.WaitForFloor):
                 self._poller.want(now, running.since)
 
-    def _worth_waiting(self, step: steps.NeedConnection) -> bool:
+    def _worth_waiting(self, step: steps.WaitForConnection) -> bool:
         """Whether a queued request should still wait for this instance."""
         if step.instance in self.view.unreachable:
             return False
@@ -561,7 +561,7 @@
 
     def _forget_wait(self, running: _Running) -> None:
         number = running.request.number
-        if isinstance(running.waits_for, steps.NeedConnection):
+        if isinstance(running.waits_for, steps.WaitForConnection):
             self.pools[running.waits_for.instance].cancel(number)
         self.barrier.drop(number)
 
@@ -620,9 +620,9 @@
 
 def _expired(step: Step | None) -> RequestError:
     """The deadline passed; what the request waited for tells why."""
-    if isinstance(step, steps.NeedPrimary):
+    if isinstance(step, steps.WaitForPrimary):
         return RequestError(ErrorKind.NO_PRIMARY, "the group has no primary that can be reached")
-    if isinstance(step, steps.NeedRoute | steps.NeedFloor):
+    if isinstance(step, steps.WaitForRoute | steps.WaitForFloor):
         return RequestError(ErrorKind.NO_REPLICA, "no instance can serve the read in time")
     return RequestError(ErrorKind.DEADLINE_PASSED, "the deadline passed before the request ran")
 
--- a/src/orchidwind/elected/core/named_write.py
+++ b/src/orchidwind/elected/core/named_write.py
@@ -29,12 +29,12 @@
 )
 from orchidwind.elected.core.steps import (
     Flow,
-    NeedConfirmation,
     Release,
     Step,
     StepResult,
     Suspect,
     TakeRetry,
+    WaitForConfirmation,
 )
 from orchidwind.shared.core.errors import ErrorKind, RequestError
 from orchidwind.shared.core.positions import Position
@@ -55,7 +55,7 @@
         try:
             primary, connection = yield from connect_primary(request)
             tag = yield from _named_attempt(request, primary, connection, attempt)
-            position = yield NeedConfirmation(primary.instance, primary.term)
+            position = yield WaitForConfirmation(primary.instance, primary.term)
         except Lost as lost:
             in_doubt = in_doubt or attempt.committing
             error = lost.reason or transaction_lost()
--- a/src/orchidwind/elected/core/steps.py
+++ b/src/orchidwind/elected/core/steps.py
@@ -12,12 +12,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class NeedPrimary:
+class WaitForPrimary:
     """Wait for a reachable primary; the result is a PrimaryReference."""
 
 
 @dataclass(frozen=True, slots=True)
-class NeedRoute:
+class WaitForRoute:
     """Wait for an instance that may serve a read at `floor`; the result is a Route."""
 
     floor: Position
@@ -25,14 +25,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class NeedFloor:
+class WaitForFloor:
     """Ask a majority, and `include` if it can be reached; the result is a Position."""
 
     include: str = ""
 
 
 @dataclass(frozen=True, slots=True)
-class NeedReplay:
+class WaitForReplay:
     """Wait until an instance's replay covers a floor; the result is whether it did in time."""
 
     instance: str
@@ -40,7 +40,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class NeedConnection:
+class WaitForConnection:
     """Wait for a server connection; the result is its number.
 
     With `primary_term` the wait ends, by BackendConnectionLost, as soon as the instance is no
@@ -62,7 +62,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class NeedConfirmation:
+class WaitForConfirmation:
     """Wait until a commit is confirmed; the result is its Position."""
 
     instance: str
@@ -113,13 +113,13 @@
 
 
 Step = (
-    NeedPrimary
-    | NeedRoute
-    | NeedFloor
-    | NeedReplay
-    | NeedConnection
+    WaitForPrimary
+    | WaitForRoute
+    | WaitForFloor
+    | WaitForReplay
+    | WaitForConnection
     | Run
-    | NeedConfirmation
+    | WaitForConfirmation
     | Release
     | ApplySettings
     | BindTransaction
--- a/src/orchidwind/elected/daemon.py
+++ b/src/orchidwind/elected/daemon.py
@@ -93,7 +93,7 @@
         self._listener = PostgresListener(
             host,
             maximum_connections=settings.maximum_callers,
-            on_error=self._figures.error_told,
+            on_error=self._figures.error_answered,
         )
         host.listener = self._listener
         self._links = LinkServer(self._homes, self._cluster.reply)
--- a/src/orchidwind/elected/metrics.py
+++ b/src/orchidwind/elected/metrics.py
@@ -93,7 +93,7 @@
             target = self._targets[key] = self._reads.labels(name, traffic_class)
         target.inc()
 
-    def error_told(self, error: RequestError) -> None:
+    def error_answered(self, error: RequestError) -> None:
         """A caller was told an error."""
         self._errors.labels(error.kind.value).inc()
 
--- a/src/orchidwind/elected/network/group_runner.py
+++ b/src/orchidwind/elected/network/group_runner.py
@@ -340,7 +340,7 @@
             if await still_runs(target, connection.backend):
                 return
         except (BackendConnectionLost, BackendRefused, TimeoutError, OSError) as error:
-            log_event("backend_state_not_told", instance=instance, reason=repr(error))
+            log_event("backend_state_not_read", instance=instance, reason=repr(error))
             return
         finally:
             self._asked_for_backends.discard(instance)
--- a/src/orchidwind/platform/callers.py
+++ b/src/orchidwind/platform/callers.py
@@ -11,7 +11,7 @@
 from orchidwind.promoted.callers.session_executor import SessionExecutor
 from orchidwind.promoted.callers.session_registry import SessionRegistry
 from orchidwind.promoted.core.commands import Command, TransactionState
-from orchidwind.promoted.proxy_runtime import ManagedNode
+from orchidwind.promoted.proxy_runtime import ProxyRuntime
 from orchidwind.shared.core.errors import ErrorKind, RequestError
 from orchidwind.shared.logs import log_event
 from orchidwind.shared.sockets import watchful
@@ -25,7 +25,7 @@
 class CallerListener(TCPServer):
     """Accepts callers."""
 
-    def __init__(self, node: ManagedNode, registry: SessionRegistry) -> None:
+    def __init__(self, node: ProxyRuntime, registry: SessionRegistry) -> None:
         super().__init__()
         self._node = node
         self._registry = registry
@@ -51,7 +51,7 @@
 class LineCaller:
     """One caller's connection."""
 
-    def __init__(self, stream: IOStream, node: ManagedNode) -> None:
+    def __init__(self, stream: IOStream, node: ProxyRuntime) -> None:
         self._stream = stream
         self._node = node
         self._lines = wire.LineReader()
--- a/src/orchidwind/platform/coordination.py
+++ b/src/orchidwind/platform/coordination.py
@@ -150,7 +150,7 @@
 
 
 def _lease_spec(confirmation: LeaseConfirmation) -> _LeaseSpec:
-    told = {name: _ToldSpec(end.term, end.lsn) for name, end in confirmation.told.items()}
+    told = {name: _ToldSpec(end.term, end.lsn) for name, end in confirmation.acknowledged.items()}
     return _LeaseSpec(confirmation.revision, confirmation.first_revision, told, confirmation.left)
 
 
--- a/src/orchidwind/platform/main.py
+++ b/src/orchidwind/platform/main.py
@@ -33,10 +33,10 @@
 )
 from orchidwind.platform.store import MILLISECONDS, ObjectStore, WatchedKind
 from orchidwind.promoted.core.homes import ProxyMember
-from orchidwind.promoted.metrics import ManagedMetrics
+from orchidwind.promoted.metrics import ProxyMetrics
 from orchidwind.promoted.peers.peer_streams import PeerListener, PeerStreamConnector
 from orchidwind.promoted.ports import NodePorts
-from orchidwind.promoted.proxy_runtime import ManagedNode
+from orchidwind.promoted.proxy_runtime import ProxyRuntime
 from orchidwind.promoted.views.followed_views import NodeBounds
 from orchidwind.shared.core.errors import SettingsError
 from orchidwind.shared.logs import configure_logging, log_event
@@ -119,8 +119,8 @@
     request.connection.finish()
 
 
-def _node(settings: PlatformSettings) -> ManagedNode:
-    metrics = ManagedMetrics()
+def _node(settings: PlatformSettings) -> ProxyRuntime:
+    metrics = ProxyMetrics()
     store = ObjectStore(
         parse_address(settings.platform.address), metrics.store_call, metrics.silent
     )
@@ -140,7 +140,7 @@
             parse_address(settings.cloud_api.address), settings.node_name, metrics.silent
         ),
     )
-    return ManagedNode(_own_member(settings), ports, _node_bounds(settings), metrics)
+    return ProxyRuntime(_own_member(settings), ports, _node_bounds(settings), metrics)
 
 
 def _node_bounds(settings: PlatformSettings) -> NodeBounds:
--- a/src/orchidwind/platform/published.py
+++ b/src/orchidwind/platform/published.py
@@ -9,10 +9,10 @@
 
 from orchidwind.platform.store import MILLISECONDS, StoredObject, decode
 from orchidwind.promoted.core.configuration import (
+    DatabaseRoute,
     DirectoryEntry,
-    ManagedConfiguration,
-    ManagedDatabase,
-    ManagedGroupSettings,
+    PromotedConfiguration,
+    PromotedGroupSettings,
     ReadConsistency,
 )
 
@@ -95,26 +95,26 @@
 
     kind = _CONFIGURATION
 
-    def item(self, stored: StoredObject) -> ManagedConfiguration | None:
+    def item(self, stored: StoredObject) -> PromotedConfiguration | None:
         """The configuration, if this is the object that holds it."""
         if stored.meta.name != _CONFIGURATION_NAME:
             return None
         spec = decode(stored.spec, _ConfigurationSpec)
         databases = {route.hostname: _database(route) for route in spec.routes}
         groups = {
-            item.name: ManagedGroupSettings(item.name, item.max_connections, item.sync_replicas)
+            item.name: PromotedGroupSettings(item.name, item.max_connections, item.sync_replicas)
             for item in spec.services
         }
         idle = _given(spec.limits.tx_idle_ms, _DEFAULT_TRANSACTION_IDLE_MS) / MILLISECONDS
-        return ManagedConfiguration(spec.version, databases, groups, idle)
+        return PromotedConfiguration(spec.version, databases, groups, idle)
 
 
 def _given(value: float | None, default: float) -> float:
     return default if value is None else value
 
 
-def _database(route: _RouteSpec) -> ManagedDatabase:
-    return ManagedDatabase(
+def _database(route: _RouteSpec) -> DatabaseRoute:
+    return DatabaseRoute(
         name=route.hostname,
         group=route.service,
         consistency=_CONSISTENCY.get(route.route_type, ReadConsistency.LATEST),
--- a/src/orchidwind/platform/store.py
+++ b/src/orchidwind/platform/store.py
@@ -195,7 +195,7 @@
         held = decode(body, StoredObject)
         return decode(held.spec, type(spec)) == spec
     except PlatformError as error:
-        log_event("held_object_not_told", reason=error, decision="write it")
+        log_event("held_object_not_in_answer", reason=error, decision="write it")
         return False
 
 
--- a/src/orchidwind/promoted/callers/command_runner.py
+++ b/src/orchidwind/promoted/callers/command_runner.py
@@ -1,4 +1,4 @@
-"""Runs the commands of one session on a group of this proxy: drives the flows of `core.managed`."""
+"""Runs the commands of one session on a group of this proxy: drives the flows of the core."""
 
 from __future__ import annotations
 
@@ -8,20 +8,20 @@
 
 from orchidwind.promoted.callers.flow_driver import drive
 from orchidwind.promoted.core.commands import CommandResult, MessageKind
-from orchidwind.promoted.core.configuration import ManagedDatabase
+from orchidwind.promoted.core.configuration import DatabaseRoute
 from orchidwind.promoted.core.flow_parts import CommandContext
 from orchidwind.promoted.core.flows import command_flow
-from orchidwind.promoted.core.session import ManagedSession
+from orchidwind.promoted.core.session import Session
 from orchidwind.promoted.core.steps import (
     Exchange,
-    NeedConnection,
-    NeedPrimary,
-    NeedProof,
-    NeedReadPlan,
     Pause,
     Release,
     Step,
     StepResult,
+    WaitForConnection,
+    WaitForPrimary,
+    WaitForProof,
+    WaitForReadPlan,
 )
 from orchidwind.promoted.group.group_service import GroupService
 from orchidwind.shared.core.admission import TrafficClass
@@ -45,7 +45,7 @@
         return TimeLimits(self.deadline, max(self.hold_until, (now + self.deadline) / 2))
 
 
-def traffic_class(database: ManagedDatabase) -> TrafficClass:
+def traffic_class(database: DatabaseRoute) -> TrafficClass:
     """The class of a database's requests: each step of priority halves the weight."""
     weight = _HIGHEST_WEIGHT / 2**database.priority
     return TrafficClass(
@@ -56,7 +56,7 @@
 class CommandRunner:
     """The commands of one session, one at a time."""
 
-    def __init__(self, session: ManagedSession) -> None:
+    def __init__(self, session: Session) -> None:
         self.caller_gone = False
         self._session = session
         self._loop = asyncio.get_running_loop()
@@ -89,17 +89,17 @@
         if self.caller_gone and not _only_ends(step):
             raise RequestError(ErrorKind.CANCELLED, "the caller has gone")
         hold_until = limits.hold_until
-        if isinstance(step, NeedPrimary):
-            return await group.need_primary(hold_until, step.lead_proof, step.commit)
-        if isinstance(step, NeedReadPlan):
-            return await group.need_read_plan(
+        if isinstance(step, WaitForPrimary):
+            return await group.wait_for_primary(hold_until, step.lead_proof, step.commit)
+        if isinstance(step, WaitForReadPlan):
+            return await group.wait_for_read_plan(
                 context.database, step.session_floor, context.arrived_at, step.excluded, hold_until
             )
-        if isinstance(step, NeedProof):
+        if isinstance(step, WaitForProof):
             return await group.prove_lead(step.term, limits.deadline)
-        if isinstance(step, NeedConnection):
+        if isinstance(step, WaitForConnection):
             wanted = traffic_class(context.database)
-            connection = await group.need_connection(step.instance, wanted, hold_until)
+            connection = await group.wait_for_connection(step.instance, wanted, hold_until)
             self._held.add(connection)
             return connection
         if isinstance(step, Exchange):
--- a/src/orchidwind/promoted/callers/session_executor.py
+++ b/src/orchidwind/promoted/callers/session_executor.py
@@ -13,9 +13,9 @@
     CommandResult,
     TransactionState,
 )
-from orchidwind.promoted.core.configuration import ManagedDatabase
+from orchidwind.promoted.core.configuration import DatabaseRoute
 from orchidwind.promoted.core.flow_parts import CommandContext
-from orchidwind.promoted.core.session import ManagedSession, OpenTransaction
+from orchidwind.promoted.core.session import OpenTransaction, Session
 from orchidwind.promoted.group.group_service import GroupService
 from orchidwind.promoted.peers.forwarding import CommandForwarder, Homes
 from orchidwind.shared.core.errors import ANSWERS, ErrorKind, RequestError
@@ -34,7 +34,7 @@
     def homes(self) -> Homes:
         """Where the groups' connections are held."""
 
-    def database(self, name: str) -> ManagedDatabase | None:
+    def database(self, name: str) -> DatabaseRoute | None:
         """A database as callers name it."""
 
     def group(self, name: str) -> GroupService | None:
@@ -47,7 +47,7 @@
         """Whether this success is one of those that are logged."""
 
     def finished(
-        self, database: ManagedDatabase, command: Command, error: ErrorKind | None, seconds: float
+        self, database: DatabaseRoute, command: Command, error: ErrorKind | None, seconds: float
     ) -> None:
         """A command ended; takes its measurement."""
 
@@ -57,7 +57,7 @@
 
     def __init__(self, databases: Databases, name: str) -> None:
         self.name = name
-        self.session = ManagedSession()
+        self.session = Session()
         self._databases = databases
         self._loop = asyncio.get_running_loop()
         self._group: GroupService | None = None
@@ -137,7 +137,7 @@
             milliseconds=int(seconds * 1000),
         )
 
-    def _database_in_force(self) -> ManagedDatabase | None:
+    def _database_in_force(self) -> DatabaseRoute | None:
         transaction = self.session.transaction
         if transaction is not None:
             return transaction.database
@@ -186,7 +186,7 @@
         self.session.fail_transaction()
 
     async def _execute(
-        self, command: Command, database: ManagedDatabase | None, arrived_at: float
+        self, command: Command, database: DatabaseRoute | None, arrived_at: float
     ) -> CommandResult:
         session = self.session
         if command.kind is CommandKind.UNKNOWN:
@@ -205,7 +205,7 @@
         return await self._run(command, database, arrived_at)
 
     async def _run(
-        self, command: Command, database: ManagedDatabase, arrived_at: float
+        self, command: Command, database: DatabaseRoute, arrived_at: float
     ) -> CommandResult:
         """Carry out a command that needs an instance, here or at the group's home."""
         group = self._group_of(database)
@@ -239,7 +239,7 @@
         transaction = self.session.transaction
         return transaction is not None and transaction.connection > 0
 
-    def _group_of(self, database: ManagedDatabase) -> GroupService:
+    def _group_of(self, database: DatabaseRoute) -> GroupService:
         if self._opened_here:
             assert self._group is not None
             return self._group
@@ -259,9 +259,7 @@
             raise transaction_lost()
         raise RequestError(ErrorKind.PROTOCOL_VIOLATION, "the transaction has failed")
 
-    def _begin(
-        self, command: Command, database: ManagedDatabase, arrived_at: float
-    ) -> CommandResult:
+    def _begin(self, command: Command, database: DatabaseRoute, arrived_at: float) -> CommandResult:
         """The transaction is opened on an instance with its first statement."""
         if self.session.transaction is not None:
             raise RequestError(ErrorKind.PROTOCOL_VIOLATION, "a transaction is open already")
--- a/src/orchidwind/promoted/core/answers.py
+++ b/src/orchidwind/promoted/core/answers.py
@@ -1,4 +1,4 @@
-"""What a caller is told of an attempt that failed on a managed group."""
+"""What a caller is told of an attempt that failed on a promoted group."""
 
 from __future__ import annotations
 
--- a/src/orchidwind/promoted/core/commands.py
+++ b/src/orchidwind/promoted/core/commands.py
@@ -1,4 +1,4 @@
-"""What callers ask of a managed group, and what an instance replies. No I/O."""
+"""What callers ask of a promoted group, and what an instance replies. No I/O."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @unique
 class CommandKind(Enum):
-    """The statements of a session on a managed group."""
+    """The statements of a session on a promoted group."""
 
     BEGIN = "begin"
     BEGIN_READ_ONLY = "begin_read_only"
--- a/src/orchidwind/promoted/core/configuration.py
+++ b/src/orchidwind/promoted/core/configuration.py
@@ -1,4 +1,4 @@
-"""The configuration of managed groups: databases as callers name them, and their groups."""
+"""The configuration of promoted groups: databases as callers name them, and their groups."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ManagedDatabase:
+class DatabaseRoute:
     """A database as callers name it. Times are in seconds; `priority` 0 is the highest."""
 
     name: str
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ManagedGroupSettings:
+class PromotedGroupSettings:
     """A group: its connection limit over all callers, and how many replicas confirm a commit."""
 
     name: str
@@ -45,12 +45,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ManagedConfiguration:
+class PromotedConfiguration:
     """All databases and groups of one version. Versions only rise."""
 
     version: int
-    databases: Mapping[str, ManagedDatabase] = field(default_factory=dict)
-    groups: Mapping[str, ManagedGroupSettings] = field(default_factory=dict)
+    databases: Mapping[str, DatabaseRoute] = field(default_factory=dict)
+    groups: Mapping[str, PromotedGroupSettings] = field(default_factory=dict)
     transaction_idle: float = DEFAULT_TRANSACTION_IDLE_SECONDS
 
 
--- a/src/orchidwind/promoted/core/failover_choice.py
+++ b/src/orchidwind/promoted/core/failover_choice.py
@@ -124,10 +124,10 @@
     """
     if counted >= needed_fences(plan) + len(plan.absent):
         return False
-    told, last = plan.told, plan.last_promotion
-    if told is None or last is None or told.known_since >= last.token:
+    acknowledged, last = plan.acknowledged, plan.last_promotion
+    if acknowledged is None or last is None or acknowledged.known_since >= last.token:
         return True
-    return not holds(item.received, told.end)
+    return not holds(item.received, acknowledged.end)
 
 
 def newest_led_term(plan: FailoverPlan, statuses: Statuses) -> int:
--- a/src/orchidwind/promoted/core/failover_steps.py
+++ b/src/orchidwind/promoted/core/failover_steps.py
@@ -34,12 +34,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ToldCommits:
-    """Up to where commits of a group may have been told by the proxies that hold lead leases.
+class AcknowledgedCommits:
+    """Up to where proxies that hold lead leases may have acknowledged commits of a group.
 
-    Others tell only what a listed replica holds that nobody has fenced.
-    `end` is an end of the primary's log at such a time, so it may lie beyond what was told.
-    `known_since`: below this revision of the promotion lock a proxy may have told more, and ended.
+    Others acknowledge only what a listed replica holds that nobody has fenced.
+    `end` is an end of the primary's log at such a time, so it may lie beyond what was acknowledged.
+    `known_since`: below this revision of the promotion lock a proxy may have acknowledged more,
+    and ended.
     """
 
     end: Position
@@ -55,7 +56,8 @@
     others, of which this proxy has not been told: then only a demoted primary's log is a measure.
     `led_term` is the newest term in which an instance is known to have led. `absent` are instances
     of which neither the directory nor this proxy has heard since that term began: they are members
-    if they answer; else it depends on `told`, what all proxies have told, whether they are needed.
+    if they answer; else it depends on `acknowledged`, what all proxies have acknowledged, whether
+    they are needed.
     `unlisted` are those that the directory does not name. `last_promotion` is what the group's
     roster names, None where nobody was ever promoted.
     """
@@ -70,7 +72,7 @@
     led_term: int = 0
     absent: tuple[str, ...] = ()
     unlisted: frozenset[str] = frozenset()
-    told: ToldCommits | None = None
+    acknowledged: AcknowledgedCommits | None = None
     last_promotion: PromotionRecord | None = None
 
 
@@ -158,7 +160,7 @@
 class AwaitRevocation:
     """Wait until no proxy relies on the old primary by a lead lease, to read or to acknowledge.
 
-    The result is ToldCommits, None where some proxy did not say what it has told.
+    The result is AcknowledgedCommits, None where some proxy did not say what it has told.
     """
 
 
@@ -213,5 +215,5 @@
     | Wait
 )
 Statuses = Mapping[str, InstanceStatus]
-FailoverStepResult = Statuses | FailoverPlan | ToldCommits | PromotionAnswer | bool | None
+FailoverStepResult = Statuses | FailoverPlan | AcknowledgedCommits | PromotionAnswer | bool | None
 FailoverFlow = Generator[FailoverStep, FailoverStepResult, FailoverResult]
--- a/src/orchidwind/promoted/core/flow_parts.py
+++ b/src/orchidwind/promoted/core/flow_parts.py
@@ -1,4 +1,4 @@
-"""What the flows on a managed group have in common: context, exchanges, finding an instance."""
+"""What the flows on a promoted group have in common: context, exchanges, finding an instance."""
 
 from __future__ import annotations
 
@@ -14,20 +14,20 @@
     Reply,
     ReplyCode,
 )
-from orchidwind.promoted.core.configuration import ManagedDatabase
+from orchidwind.promoted.core.configuration import DatabaseRoute
 from orchidwind.promoted.core.group_state import GroupState
-from orchidwind.promoted.core.session import ManagedSession
+from orchidwind.promoted.core.session import Session
 from orchidwind.promoted.core.steps import (
     Exchange,
     ExchangeResult,
-    NeedConnection,
-    NeedPrimary,
-    NeedProof,
-    NeedReadPlan,
     Pause,
     Release,
     Step,
     StepResult,
+    WaitForConnection,
+    WaitForPrimary,
+    WaitForProof,
+    WaitForReadPlan,
 )
 from orchidwind.promoted.core.topology import PrimaryView, ReadPlan
 from orchidwind.shared.core.errors import (
@@ -44,9 +44,9 @@
 class CommandContext:
     """What the flows of one command share. Times are in seconds of the steady clock."""
 
-    session: ManagedSession
+    session: Session
     group: GroupState
-    database: ManagedDatabase
+    database: DatabaseRoute
     command: Command
     arrived_at: float
     excluded: set[str] = field(default_factory=set)
@@ -124,10 +124,10 @@
 ) -> Generator[Step, StepResult, tuple[ReadPlan, int]]:
     """An instance that may serve a read, and a connection to it."""
     while True:
-        plan = yield NeedReadPlan(context.session.floor, frozenset(context.excluded))
+        plan = yield WaitForReadPlan(context.session.floor, frozenset(context.excluded))
         assert isinstance(plan, ReadPlan)
         try:
-            connection = yield NeedConnection(plan.instance)
+            connection = yield WaitForConnection(plan.instance)
         except BackendConnectionLost:
             yield from leave_instance(context, plan)
             continue
@@ -162,10 +162,10 @@
     """Send nothing to a primary of doubtful lead until some replica confirms its term."""
     while True:
         yield Pause(BUSY_PAUSE_SECONDS)
-        primary = yield NeedPrimary(lead_proof=True)
+        primary = yield WaitForPrimary(lead_proof=True)
         assert isinstance(primary, PrimaryView)
         context.note(primary.instance, f"term={primary.term}:lead_not_proven")
-        if (yield NeedProof(primary.term)):
+        if (yield WaitForProof(primary.term)):
             return
 
 
@@ -201,10 +201,10 @@
 ) -> Generator[Step, StepResult, tuple[PrimaryView, int]]:
     """A primary that confirms commits, and a connection to it."""
     while True:
-        primary = yield NeedPrimary(lead_proof=lead_proof, commit=True)
+        primary = yield WaitForPrimary(lead_proof=lead_proof, commit=True)
         assert isinstance(primary, PrimaryView)
         try:
-            connection = yield NeedConnection(primary.instance)
+            connection = yield WaitForConnection(primary.instance)
         except BackendConnectionLost:
             continue
         assert isinstance(connection, int)
--- a/src/orchidwind/promoted/core/flows.py
+++ b/src/orchidwind/promoted/core/flows.py
@@ -1,4 +1,4 @@
-"""The order of steps of each command on a managed group, as generators without I/O.
+"""The order of steps of each command on a promoted group, as generators without I/O.
 
 A flow yields a step and is sent its result, or has an error thrown in. What a flow has in its
 hands when an error reaches it decides what the caller may be told (`docs/STATEMENTS.md`):
--- a/src/orchidwind/promoted/core/freshness.py
+++ b/src/orchidwind/promoted/core/freshness.py
@@ -68,16 +68,16 @@
     whole_wait: float
 
     @classmethod
-    def within(cls, bound: float, told_at_once: bool = True) -> FollowTimes:
+    def within(cls, bound: float, watched_by_all: bool = True) -> FollowTimes:
         """For a view that is to be at most `bound` seconds old.
 
-        With `told_at_once` every proxy has the store tell it of changes; without, most have them
+        With `watched_by_all` every proxy has the store tell it of changes; without, most have them
         from others some time later, which costs the store nothing.
         """
         return cls(
             bound=bound,
             watch_wait=bound * _WATCH_WAIT_SHARE,
-            relying_wait=LONGEST_WATCH_SECONDS if told_at_once else None,
+            relying_wait=LONGEST_WATCH_SECONDS if watched_by_all else None,
             answer_slack=bound * _ANSWER_SLACK_SHARE,
             ask_every=bound * _ASK_SHARE,
             read_at_age=bound * _READ_SHARE,
--- a/src/orchidwind/promoted/core/group_state.py
+++ b/src/orchidwind/promoted/core/group_state.py
@@ -1,4 +1,4 @@
-"""A managed group at one proxy: the topology, and what its server connections carry. No I/O."""
+"""A promoted group at one proxy: the topology, and what its server connections carry. No I/O."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 
 from orchidwind.promoted.core.commands import InstanceMessage, MessageKind, PreparedStatement
-from orchidwind.promoted.core.configuration import ManagedGroupSettings
+from orchidwind.promoted.core.configuration import PromotedGroupSettings
 from orchidwind.promoted.core.topology import GroupTopology
 from orchidwind.shared.core.positions import Position
 
@@ -28,7 +28,7 @@
 
     def __init__(
         self,
-        settings: ManagedGroupSettings,
+        settings: PromotedGroupSettings,
         zone: str,
         now: Callable[[], float],
         on_change: Callable[[], None],
--- a/src/orchidwind/promoted/core/homes.py
+++ b/src/orchidwind/promoted/core/homes.py
@@ -1,4 +1,4 @@
-"""Which proxies hold the server connections of a managed group: its homes. No I/O.
+"""Which proxies hold the server connections of a promoted group: its homes. No I/O.
 
 Every proxy computes the same answer from the same members. In a small fleet, where each proxy can
 have a useful number of connections, each is a home and requests take no further hop. Beyond that, a
--- a/src/orchidwind/promoted/core/lead_lease.py
+++ b/src/orchidwind/promoted/core/lead_lease.py
@@ -43,7 +43,7 @@
         return cls(sent_at, record.revision, record.released)
 
     @classmethod
-    def told(cls, asked_at: float, age: float, revision: int, free: bool) -> LockReading:
+    def relayed(cls, asked_at: float, age: float, revision: int, free: bool) -> LockReading:
         """Another proxy's reading, which was `age` seconds old when it answered.
 
         It answered after it was asked, so its call was sent no earlier than `age` before that.
--- a/src/orchidwind/promoted/core/peer_loss.py
+++ b/src/orchidwind/promoted/core/peer_loss.py
@@ -4,12 +4,12 @@
 
 from orchidwind.promoted.core.answers import read_interrupted, transaction_lost, write_in_doubt
 from orchidwind.promoted.core.commands import Command, CommandKind
-from orchidwind.promoted.core.session import ManagedSession
+from orchidwind.promoted.core.session import Session
 from orchidwind.shared.core.errors import RequestError
 
 
 def after_lost_home(
-    session: ManagedSession, command: Command, opened: bool, sent: bool
+    session: Session, command: Command, opened: bool, sent: bool
 ) -> RequestError | None:
     """What the caller is told; None where the command may be sent to another home.
 
--- a/src/orchidwind/promoted/core/peer_messages.py
+++ b/src/orchidwind/promoted/core/peer_messages.py
@@ -1,4 +1,4 @@
-"""What proxies for managed groups tell one another on a link. `network.peer_codec` encodes it."""
+"""What proxies of promoted groups say to one another on a link; `peer_codec` encodes it."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 from orchidwind.promoted.core.commands import PreparedStatement
 from orchidwind.promoted.core.configuration import (
+    DatabaseRoute,
     DirectoryEntry,
-    ManagedDatabase,
-    ManagedGroupSettings,
+    PromotedGroupSettings,
 )
 from orchidwind.promoted.core.homes import ProxyMember
 from orchidwind.shared.core.positions import Position
@@ -126,8 +126,8 @@
     """A configuration, whole."""
 
     version: int
-    databases: tuple[ManagedDatabase, ...]
-    groups: tuple[ManagedGroupSettings, ...]
+    databases: tuple[DatabaseRoute, ...]
+    groups: tuple[PromotedGroupSettings, ...]
     transaction_idle: float
 
 
--- a/src/orchidwind/promoted/core/session.py
+++ b/src/orchidwind/promoted/core/session.py
@@ -1,4 +1,4 @@
-"""One caller's session on a managed group: settings, prepared statements, transaction. No I/O."""
+"""One caller's session on a promoted group: settings, prepared statements, transaction. No I/O."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
     PreparedStatement,
     TransactionState,
 )
-from orchidwind.promoted.core.configuration import ManagedDatabase
+from orchidwind.promoted.core.configuration import DatabaseRoute
 from orchidwind.shared.core.errors import ErrorKind, RequestError
 from orchidwind.shared.core.positions import Position
 
@@ -26,7 +26,7 @@
     rules in force when it began. `last_used` is in seconds of the steady clock.
     """
 
-    database: ManagedDatabase
+    database: DatabaseRoute
     read_only: bool
     connection: int = 0
     instance: str = ""
@@ -35,7 +35,7 @@
 
 
 @dataclass(slots=True)
-class ManagedSession:
+class Session:
     """What a proxy remembers of one connection of a caller."""
 
     settings: dict[str, str] = field(default_factory=dict)
--- a/src/orchidwind/promoted/core/steps.py
+++ b/src/orchidwind/promoted/core/steps.py
@@ -1,4 +1,4 @@
-"""The steps that a flow on a managed group asks its driver for."""
+"""The steps that a flow on a promoted group asks its driver for."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class NeedPrimary:
+class WaitForPrimary:
     """Wait for a primary; the result is a PrimaryView.
 
     `lead_proof` tells that its lead must be proven, `commit` that it must confirm commits: where
@@ -23,7 +23,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class NeedReadPlan:
+class WaitForReadPlan:
     """Wait for an instance that may serve a read; the result is a ReadPlan."""
 
     session_floor: Position | None
@@ -31,7 +31,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class NeedConnection:
+class WaitForConnection:
     """Wait for a server connection; the result is its number.
 
     Ends by BackendConnectionLost where the instance does not answer.
@@ -62,7 +62,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class NeedProof:
+class WaitForProof:
     """Ask now for the proof that no primary after `term` has begun; the result is a bool."""
 
     term: int
@@ -83,6 +83,8 @@
     seconds: float
 
 
-Step = NeedPrimary | NeedReadPlan | NeedProof | NeedConnection | Exchange | Release | Pause
+Step = (
+    WaitForPrimary | WaitForReadPlan | WaitForProof | WaitForConnection | Exchange | Release | Pause
+)
 StepResult = PrimaryView | ReadPlan | ExchangeResult | int | bool | None
 Flow = Generator[Step, StepResult, CommandResult]
--- a/src/orchidwind/promoted/core/topology.py
+++ b/src/orchidwind/promoted/core/topology.py
@@ -1,4 +1,4 @@
-"""What a proxy knows of one managed group: instances, primary, floors. No I/O, no clock.
+"""What a proxy knows of one promoted group: instances, primary, floors. No I/O, no clock.
 
 A *floor* is a position that a read must see. A floor is *proven* for a time when the primary told
 it at or after that time, and it is known that no later primary had begun by then: either a write
@@ -15,9 +15,9 @@
 
 from orchidwind.promoted.core.commands import InstanceRole, InstanceStatus
 from orchidwind.promoted.core.configuration import (
+    DatabaseRoute,
     DirectoryEntry,
-    ManagedDatabase,
-    ManagedGroupSettings,
+    PromotedGroupSettings,
     ReadConsistency,
 )
 from orchidwind.promoted.core.roster import PromotionRecord
@@ -112,7 +112,7 @@
 
     def __init__(
         self,
-        settings: ManagedGroupSettings,
+        settings: PromotedGroupSettings,
         zone: str,
         entry_outlives: float = DEFAULT_ENTRY_OUTLIVES_SECONDS,
     ) -> None:
@@ -125,7 +125,7 @@
         self._forgotten: set[str] = set()
         self._samples: deque[_Sample] = deque(maxlen=_SAMPLES_KEPT)
         self.last_promotion: PromotionRecord | None = None
-        self._promotion_told_at = float("-inf")
+        self._promotion_read_at = float("-inf")
         self._led_term = 0
         # The present term began after this time; nothing is known where this proxy did not see the
         # term before.
@@ -175,11 +175,11 @@
         self._forgotten.update(old, departed)
         return old
 
-    def promotion_told(self, record: PromotionRecord | None, now: float) -> None:
+    def promotion_read(self, record: PromotionRecord | None, now: float) -> None:
         """The roster names the last promotion."""
         if record != self.last_promotion:
             self.last_promotion = record
-            self._promotion_told_at = now
+            self._promotion_read_at = now
 
     def superseded(self, instance: str, term: int) -> bool:
         """Whether another instance was promoted since a term, and may lead out of sight.
@@ -194,7 +194,7 @@
         if view is None or not view.listed:
             return False
         status = view.status
-        answered = status is not None and status.asked_at >= self._promotion_told_at
+        answered = status is not None and status.asked_at >= self._promotion_read_at
         return not (answered and status is not None and status.term < last.term)
 
     def to_forget(self, now: float) -> bool:
@@ -238,7 +238,7 @@
     def _samples_since(self, since: float) -> list[Position]:
         return [sample.position for sample in self._samples if sample.at >= since][:1]
 
-    def roster_told(self, members: Iterable[str], now: float) -> None:
+    def roster_read(self, members: Iterable[str], now: float) -> None:
         """The group's roster names these; those not seen here left before, some time ago."""
         for name in members:
             if name not in self.instances and name not in self._forgotten:
@@ -450,7 +450,7 @@
 
     def plan_read(
         self,
-        database: ManagedDatabase,
+        database: DatabaseRoute,
         session_floor: Position | None,
         arrived_at: float,
         now: float,
--- a/src/orchidwind/promoted/core/transaction_flows.py
+++ b/src/orchidwind/promoted/core/transaction_flows.py
@@ -1,4 +1,4 @@
-"""Transactions on a managed group: opened with their first statement, pinned to a connection."""
+"""Transactions on a promoted group: opened with their first statement, pinned to a connection."""
 
 from __future__ import annotations
 
--- a/src/orchidwind/promoted/group/commit_guard.py
+++ b/src/orchidwind/promoted/group/commit_guard.py
@@ -62,7 +62,7 @@
         """Whether the lead lease covers a commit of a primary at this moment."""
         return self._prover.leased(instance, self._loop.time())
 
-    async def may_tell(
+    async def may_acknowledge(
         self, instance: str, position: Position, on_unproven: Callable[[], None]
     ) -> bool:
         """Wait until a commit up to a position may be told, False where it is left out.
@@ -71,7 +71,7 @@
         that proved nothing.
         """
         while not self.leased(instance):
-            outcome = self._told_by_successor(position)
+            outcome = self._acknowledged_under_successor(position)
             if outcome is not None:
                 return outcome
             if await self._held_by_replica(instance, position):
@@ -80,7 +80,7 @@
             await asyncio.sleep(ASK_AGAIN_SECONDS)
         return True
 
-    def _told_by_successor(self, position: Position) -> bool | None:
+    def _acknowledged_under_successor(self, position: Position) -> bool | None:
         """Whether the next primary's log began with a commit in it; None while not known."""
         last = self._topology.last_promotion
         if last is None or last.term <= position.term or last.start.term > position.term:
--- a/src/orchidwind/promoted/group/connections.py
+++ b/src/orchidwind/promoted/group/connections.py
@@ -1,4 +1,4 @@
-"""The server connections of one managed group, and the requests that wait for one."""
+"""The server connections of one promoted group, and the requests that wait for one."""
 
 from __future__ import annotations
 
--- a/src/orchidwind/promoted/group/group_service.py
+++ b/src/orchidwind/promoted/group/group_service.py
@@ -1,4 +1,4 @@
-"""One managed group at this proxy: its view, the requests that wait, exchanges with instances."""
+"""One promoted group at this proxy: its view, the requests that wait, exchanges with instances."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
     ReplyCode,
 )
 from orchidwind.promoted.core.configuration import (
+    DatabaseRoute,
     DirectoryEntry,
-    ManagedDatabase,
-    ManagedGroupSettings,
+    PromotedGroupSettings,
 )
 from orchidwind.promoted.core.group_state import GroupState
 from orchidwind.promoted.core.steps import ExchangeResult
@@ -30,7 +30,7 @@
 from orchidwind.promoted.group.lease_keeper import LeaseKeeper
 from orchidwind.promoted.group.resting_connections import RestingConnections
 from orchidwind.promoted.group.status_calls import StatusCall, StatusCalls
-from orchidwind.promoted.metrics import ManagedMetrics
+from orchidwind.promoted.metrics import ProxyMetrics
 from orchidwind.promoted.ports import InstanceConnector
 from orchidwind.shared.core.admission import TrafficClass
 from orchidwind.shared.core.errors import BackendConnectionLost, ErrorKind, RequestError
@@ -46,7 +46,7 @@
 # Commits that were held back for longer are logged: a proof by a replica takes some milliseconds.
 _HELD_LOGGED_SECONDS = 0.1
 # Some 3 s of a busy group's commits at one proxy: what a change of primary could leave out.
-_TOLD_COMMITS_KEPT = 64
+_ACKNOWLEDGED_COMMITS_KEPT = 64
 # What a proxy takes that is no home, while no home can be reached.
 _CONNECTIONS_WITHOUT_HOME = 1
 # A lead that could not be proven for so long is not proven here soon: reading the lock takes some
@@ -64,11 +64,11 @@
 
     def __init__(
         self,
-        settings: ManagedGroupSettings,
+        settings: PromotedGroupSettings,
         zone: str,
         connector: InstanceConnector,
         on_wake: Callable[[], None],
-        metrics: ManagedMetrics,
+        metrics: ProxyMetrics,
         leases: LeaseKeeper,
         entry_outlives: float,
         on_used: Callable[[], None],
@@ -102,8 +102,10 @@
         self._finding = CircuitBreaker("instance found", NOT_FOUND_SECONDS)
         self._proving = CircuitBreaker("lead proven", NOT_PROVEN_SECONDS)
         self._committing = CircuitBreaker("commit confirmed", NOT_CONFIRMING_SECONDS)
-        self._told_open: set[str] = set()
-        self._told_commits: deque[tuple[str, Position]] = deque(maxlen=_TOLD_COMMITS_KEPT)
+        self._logged_open: set[str] = set()
+        self._acknowledged_commits: deque[tuple[str, Position]] = deque(
+            maxlen=_ACKNOWLEDGED_COMMITS_KEPT
+        )
 
     @property
     def supervised(self) -> bool:
@@ -124,7 +126,7 @@
         self._on_wake()
 
     @property
-    def settings(self) -> ManagedGroupSettings:
+    def settings(self) -> PromotedGroupSettings:
         """The group's settings in force."""
         return self.topology.settings
 
@@ -192,13 +194,13 @@
             self._succeeded(self._proving)
             self._succeeded(self._committing)
             if after is not None:
-                self._log_told_commits(after.term)
+                self._log_acknowledged_commits(after.term)
             log_event(
                 "primary_changed",
                 group=self.settings.name,
                 instance=after.instance if after else "",
                 term=after.term if after else 0,
-                told_by=status.instance,
+                reported_by=status.instance,
             )
             self.changed()
 
@@ -261,18 +263,22 @@
         """Raise RequestError where something that a request needs is known to fail here."""
         if not breaker.refuses(self._loop.time()):
             return
-        if breaker.name not in self._told_open:
-            self._told_open.add(breaker.name)
-            log_event("circuit_opened", group=self.settings.name, missing=breaker.name, told=reason)
+        if breaker.name not in self._logged_open:
+            self._logged_open.add(breaker.name)
+            log_event(
+                "circuit_opened", group=self.settings.name, missing=breaker.name, reason=reason
+            )
         raise RequestError(kind, reason)
 
     def _succeeded(self, breaker: CircuitBreaker) -> None:
         breaker.succeeded(self._loop.time())
-        if breaker.name in self._told_open:
-            self._told_open.discard(breaker.name)
+        if breaker.name in self._logged_open:
+            self._logged_open.discard(breaker.name)
             log_event("circuit_closed", group=self.settings.name, found=breaker.name)
 
-    async def need_primary(self, deadline: float, lead_proof: bool, commit: bool) -> PrimaryView:
+    async def wait_for_primary(
+        self, deadline: float, lead_proof: bool, commit: bool
+    ) -> PrimaryView:
         """Wait for a primary; raises RequestError, at once where what it needs is known to fail."""
         if lead_proof:
             self._refuse_if(self._proving, ErrorKind.NO_PRIMARY, "its lead cannot be proven here")
@@ -295,9 +301,9 @@
         if waited > NOT_CONFIRMING_SECONDS:
             self._committing.failed(self._loop.time() - waited)
 
-    async def need_read_plan(
+    async def wait_for_read_plan(
         self,
-        database: ManagedDatabase,
+        database: DatabaseRoute,
         session_floor: Position | None,
         arrived_at: float,
         excluded: frozenset[str],
@@ -314,7 +320,7 @@
             self._refuse_if(self._proving, ErrorKind.NO_PRIMARY, "its lead cannot be proven here")
         return plan
 
-    async def need_connection(
+    async def wait_for_connection(
         self, instance: str, traffic_class: TrafficClass, deadline: float
     ) -> int:
         """Wait for a server connection; raises RequestError, BackendConnectionLost."""
@@ -384,18 +390,18 @@
         """Return when a commit may be told; raises BackendConnectionLost where it is left out."""
         position = reply.position or Position(self.topology.primary_term(instance), 0)
         if self._guard.leased(instance):
-            self._note_told(asked.request_id, position)
+            self._note_acknowledged(asked.request_id, position)
             return
         held_at = self._loop.time()
         outcome = "out_of_time"
         try:
-            told = await self._guard.may_tell(
+            proven = await self._guard.may_acknowledge(
                 instance, position, lambda: self._proving.failed(held_at)
             )
-            outcome = "told" if told else "left_out"
+            outcome = "acknowledged" if proven else "left_out"
         finally:
             seconds = self._loop.time() - held_at
-            if outcome != "told" or seconds > _HELD_LOGGED_SECONDS:
+            if outcome != "acknowledged" or seconds > _HELD_LOGGED_SECONDS:
                 log_event(
                     "commit_held",
                     request_id=asked.request_id,
@@ -405,22 +411,25 @@
                     outcome=outcome,
                     milliseconds=int(seconds * 1000),
                 )
-        if outcome != "told":
+        if outcome != "acknowledged":
             raise BackendConnectionLost("a change of primary has left the commit out", sent=True)
-        self._note_told(asked.request_id, position)
+        self._note_acknowledged(asked.request_id, position)
 
-    def _note_told(self, request_id: str, position: Position) -> None:
-        self._leases.note_told(self.settings.name, position)
-        self._told_commits.append((request_id, position))
+    def _note_acknowledged(self, request_id: str, position: Position) -> None:
+        self._leases.note_acknowledged(self.settings.name, position)
+        self._acknowledged_commits.append((request_id, position))
         self._succeeded(self._proving)
 
-    def _log_told_commits(self, term: int) -> None:
+    def _log_acknowledged_commits(self, term: int) -> None:
         """Name the last commits before a new primary: whether one was lost can be traced by it."""
-        told, self._told_commits = self._told_commits, deque(maxlen=_TOLD_COMMITS_KEPT)
-        older = [(name, end) for name, end in told if end.term < term]
+        acknowledged, self._acknowledged_commits = (
+            self._acknowledged_commits,
+            deque(maxlen=_ACKNOWLEDGED_COMMITS_KEPT),
+        )
+        older = [(name, end) for name, end in acknowledged if end.term < term]
         if older:
             log_event(
-                "commits_told",
+                "commits_acknowledged",
                 group=self.settings.name,
                 before_term=term,
                 commits=" ".join(f"{name}@{end.term}.{end.lsn}" for name, end in older),
--- a/src/orchidwind/promoted/group/group_supervision.py
+++ b/src/orchidwind/promoted/group/group_supervision.py
@@ -1,4 +1,4 @@
-"""Watches over one managed group: asks for statuses, and has a primary changed when needed."""
+"""Watches over one promoted group: asks for statuses, and has a primary changed when needed."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from orchidwind.promoted.group.group_service import GroupService
 from orchidwind.promoted.group.lease_keeper import LeaseKeeper
 from orchidwind.promoted.group.roster_keeper import RosterKeeper
-from orchidwind.promoted.metrics import ManagedMetrics
+from orchidwind.promoted.metrics import ProxyMetrics
 from orchidwind.promoted.ports import PromotionService
 from orchidwind.shared.logs import log_event
 
@@ -36,7 +36,7 @@
         leases: LeaseKeeper,
         rosters: RosterKeeper,
         refresh_views: Callable[[], Awaitable[bool]],
-        metrics: ManagedMetrics,
+        metrics: ProxyMetrics,
     ) -> None:
         """`refresh_views` reads anew who may hold commits; whether the store answered."""
         self._refresh_views = refresh_views
--- a/src/orchidwind/promoted/group/lease_keeper.py
+++ b/src/orchidwind/promoted/group/lease_keeper.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Iterable, Sequence
 from dataclasses import replace
 
-from orchidwind.promoted.core.failover_steps import ToldCommits
+from orchidwind.promoted.core.failover_steps import AcknowledgedCommits
 from orchidwind.promoted.core.lead_lease import (
     RENEWAL_MARGIN_SECONDS,
     REVOCATION_WAIT_SECONDS,
@@ -65,7 +65,7 @@
         self._registry = registry
         self._registered = False
         self._wanted = asyncio.Event()
-        self._told: dict[str, Position] = {}
+        self._acknowledged: dict[str, Position] = {}
         self._object_revision: int | None = None
         self._confirmed = 0
         self._to_confirm = 0
@@ -85,15 +85,15 @@
         """The promotion lock's revision while it is known to be free, else None."""
         return self.lease.free_revision
 
-    def note_told(self, group: str, position: Position) -> None:
+    def note_acknowledged(self, group: str, position: Position) -> None:
         """A commit of a group is told to its caller, up to this end of the primary's log."""
-        self._told[group] = max(position, self._told.get(group, position))
+        self._acknowledged[group] = max(position, self._acknowledged.get(group, position))
 
     def _confirmation(self, revision: int) -> LeaseConfirmation:
         # Before the lock was seen, nobody can tell how long this process has run.
         first = self.lease.first_revision
         first = revision if first is None else first
-        return LeaseConfirmation(self._node, revision, first, dict(self._told))
+        return LeaseConfirmation(self._node, revision, first, dict(self._acknowledged))
 
     async def run(self) -> None:
         """Register with the first request, then read the lock as often as they want the lease."""
@@ -132,30 +132,30 @@
     async def _renew(self) -> None:
         readers = self._readers()
         sources = readers.before if self._readable else (*readers.before, *readers.after)
-        reading = await self._told_reading(sources) or await self._recent_reading()
-        reading = reading or await self._told_reading(readers.after)
+        reading = await self._relayed_reading(sources) or await self._recent_reading()
+        reading = reading or await self._relayed_reading(readers.after)
         if reading is not None:
             self.lease.lock_seen(reading)
 
-    async def _told_reading(self, sources: Sequence[PeerLink]) -> LockReading | None:
+    async def _relayed_reading(self, sources: Sequence[PeerLink]) -> LockReading | None:
         """What other proxies tell of the lock, None where none tells anything of use."""
         for link in sources:
-            reading = await self._told_by(link)
+            reading = await self._ask_for_reading(link)
             if reading is not None:
                 return reading
         return None
 
-    async def _told_by(self, link: PeerLink) -> LockReading | None:
+    async def _ask_for_reading(self, link: PeerLink) -> LockReading | None:
         asked_at = self._loop.time()
         try:
             async with asyncio.timeout(_REPORT_SECONDS):
                 report = await link.ask_lock()
         except (PeerUnavailable, TimeoutError) as error:
-            log_event("lock_not_told", peer=link.member.name, reason=repr(error))
+            log_event("lock_reading_not_received", peer=link.member.name, reason=repr(error))
             return None
         if not report.known or report.age > _OLDEST_REPORT_SECONDS:
             return None
-        return LockReading.told(asked_at, report.age, report.revision, report.free)
+        return LockReading.relayed(asked_at, report.age, report.revision, report.free)
 
     async def _own_reading(self) -> LockReading | None:
         """Read the lock from the store, None where it does not answer."""
@@ -233,8 +233,8 @@
             if revision <= self._confirmed or not self._registered:
                 continue
             try:
-                told = self._confirmation(revision)
-                self._object_revision = await self._registry.confirm(told)
+                confirmation = self._confirmation(revision)
+                self._object_revision = await self._registry.confirm(confirmation)
             except PlatformError as error:
                 log_event("lease_drop_not_confirmed", revision=revision, reason=str(error))
                 await self._confirm_again()
@@ -264,7 +264,9 @@
         except (PlatformError, TimeoutError) as error:
             log_event("lease_not_left", reason=str(error))
 
-    async def wait_for_others(self, group: str, token: int, taken_at: float) -> ToldCommits | None:
+    async def wait_for_others(
+        self, group: str, token: int, taken_at: float
+    ) -> AcknowledgedCommits | None:
         """Wait until no other proxy's lease counts; `taken_at` is when the lock's answer came.
 
         What all proxies have told of a group, None where one of them does not say.
@@ -274,7 +276,7 @@
         while (left := deadline - self._loop.time()) > 0:
             confirmed = await self._all_dropped(token)
             if confirmed is not None:
-                return _told_by(group, (*confirmed, self._confirmation(token)))
+                return _acknowledged_by(group, (*confirmed, self._confirmation(token)))
             await asyncio.sleep(min(_ASK_AGAIN_SECONDS, left))
         return None
 
@@ -291,7 +293,7 @@
         return None if waiting else others
 
 
-def _told_by(group: str, confirmed: Iterable[LeaseConfirmation]) -> ToldCommits:
-    ends = [item.told[group] for item in confirmed if group in item.told]
+def _acknowledged_by(group: str, confirmed: Iterable[LeaseConfirmation]) -> AcknowledgedCommits:
+    ends = [item.acknowledged[group] for item in confirmed if group in item.acknowledged]
     known_since = max(item.first_revision for item in confirmed)
-    return ToldCommits(max(ends, default=Position(0, 0)), known_since)
+    return AcknowledgedCommits(max(ends, default=Position(0, 0)), known_since)
--- a/src/orchidwind/promoted/group/operator_status.py
+++ b/src/orchidwind/promoted/group/operator_status.py
@@ -1,4 +1,4 @@
-"""What a managed proxy believes, in the form that operators are shown."""
+"""What a proxy of promoted groups believes, in the form that operators are shown."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from orchidwind.promoted.group.group_service import GroupService
 
 
-class ManagedInstanceStatus(msgspec.Struct, frozen=True):
+class OperatorInstanceStatus(msgspec.Struct, frozen=True):
     """One instance. `view_age_ms` is the age of its last status, -1 where none is known."""
 
     name: str
@@ -23,16 +23,16 @@
     queued: int
 
 
-class ManagedGroupStatus(msgspec.Struct, frozen=True):
+class OperatorGroupStatus(msgspec.Struct, frozen=True):
     """One group; `primary` is empty while none is known."""
 
     name: str
     primary: str
     term: int
-    instances: list[ManagedInstanceStatus]
+    instances: list[OperatorInstanceStatus]
 
 
-class ManagedStatus(msgspec.Struct, frozen=True):
+class OperatorStatus(msgspec.Struct, frozen=True):
     """One proxy. `configuration_age_ms`: since when nobody has confirmed that it is the newest.
 
     `promotion_lock_holder` is the proxy that changes a primary now, if any."""
@@ -44,10 +44,10 @@
     configuration_age_ms: int
     lead_lease: bool
     promotion_lock_holder: str
-    groups: list[ManagedGroupStatus]
+    groups: list[OperatorGroupStatus]
 
 
-def group_status(group: GroupService, now: float) -> ManagedGroupStatus:
+def group_status(group: GroupService, now: float) -> OperatorGroupStatus:
     """The state of one group at a time of the steady clock."""
     primary = group.topology.primary(now)
     instances = []
@@ -55,7 +55,7 @@
         status = view.status
         usage = group.connections.usage(name)
         instances.append(
-            ManagedInstanceStatus(
+            OperatorInstanceStatus(
                 name=name,
                 role=status.role.value if status else "",
                 term=status.term if status else 0,
@@ -69,7 +69,7 @@
                 queued=usage.queued,
             )
         )
-    return ManagedGroupStatus(
+    return OperatorGroupStatus(
         name=group.settings.name,
         primary=primary.instance if primary else "",
         term=primary.term if primary else 0,
--- a/src/orchidwind/promoted/group/roster_keeper.py
+++ b/src/orchidwind/promoted/group/roster_keeper.py
@@ -49,15 +49,15 @@
         held = self._rosters.get(roster.group)
         if held is None or held.revision < roster.revision:
             self._rosters[roster.group] = roster
-        self.tell(roster.group)
+        self.apply(roster.group)
 
-    def tell(self, group: str) -> None:
+    def apply(self, group: str) -> None:
         """Pass a roster on to its group, which may be newer than the roster."""
         roster = self._rosters.get(group)
         service = self._groups.get(group)
         if roster is not None and service is not None:
-            service.topology.roster_told(roster.members, self._loop.time())
-            service.topology.promotion_told(roster.last_promotion, self._loop.time())
+            service.topology.roster_read(roster.members, self._loop.time())
+            service.topology.promotion_read(roster.last_promotion, self._loop.time())
 
     def promotion_called(self, token: int) -> bool:
         """Whether a promotion may have been called under a fencing token, of any group."""
--- a/src/orchidwind/promoted/group/status_calls.py
+++ b/src/orchidwind/promoted/group/status_calls.py
@@ -1,4 +1,4 @@
-"""Status and control calls to the instances of one managed group."""
+"""Status and control calls to the instances of one promoted group."""
 
 from __future__ import annotations
 
@@ -160,7 +160,7 @@
             for task in silent:
                 self._found(ConnectionKind.INSTANCE_IDLE, instance, asking[task], "close it")
         except (BackendRefused, BackendConnectionLost, TimeoutError) as error:
-            log_event("silence_not_told", instance=instance, reason=repr(error))
+            log_event("silence_not_confirmed", instance=instance, reason=repr(error))
             silent = []
             await asyncio.wait(asking, timeout=ASK_SECONDS)
         finally:
@@ -189,7 +189,7 @@
                 _, waiting = await asyncio.wait(waiting, timeout=left)
                 silent = [asking[task] for task in waiting]
         except (BackendRefused, BackendConnectionLost, TimeoutError) as error:
-            log_event("silence_not_told", instance=instance, reason=repr(error))
+            log_event("silence_not_confirmed", instance=instance, reason=repr(error))
         finally:
             for task in asking:
                 task.cancel()
--- a/src/orchidwind/promoted/metrics.py
+++ b/src/orchidwind/promoted/metrics.py
@@ -1,4 +1,4 @@
-"""Figures of a managed proxy, in Prometheus' text form."""
+"""Figures of a proxy of promoted groups, in Prometheus' text form."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 _LATENCY_BUCKETS = (0.002, 0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2)
 
 
-class ManagedMetrics:
+class ProxyMetrics:
     """All figures; one object a process."""
 
     def __init__(self) -> None:
@@ -121,9 +121,9 @@
         """A call to the store was made."""
         self._store_calls.labels(method, kind).inc()
 
-    def view_told(self, view: str, told: str, items: int) -> None:
+    def view_reported(self, view: str, content: str, items: int) -> None:
         """Another proxy was told of a view, with so many items."""
-        self._view_reports.labels(view, told).inc()
+        self._view_reports.labels(view, content).inc()
         self._view_items.labels(view).inc(items)
 
     def forwarded(self, outcome: str) -> None:
@@ -153,7 +153,7 @@
 
     def view_report_counts(self) -> dict[str, int]:
         """Answers to other proxies so far, by view and what was told, and the items they held."""
-        items = {f"{view}_items": told for view, told in _counts(self._view_items).items()}
+        items = {f"{view}_items": count for view, count in _counts(self._view_items).items()}
         return _counts(self._view_reports) | items
 
     def render(self) -> bytes:
--- a/src/orchidwind/promoted/peers/forwarding.py
+++ b/src/orchidwind/promoted/peers/forwarding.py
@@ -16,7 +16,7 @@
     RunCommand,
     SettingValue,
 )
-from orchidwind.promoted.core.session import ManagedSession
+from orchidwind.promoted.core.session import Session
 from orchidwind.promoted.peers.peer_link import PeerLink
 from orchidwind.shared.core.errors import ErrorKind, PeerUnavailable, RequestError
 
@@ -45,7 +45,7 @@
 class CommandForwarder:
     """The commands of one session, one at a time."""
 
-    def __init__(self, session: ManagedSession, homes: Homes) -> None:
+    def __init__(self, session: Session, homes: Homes) -> None:
         self._session = session
         self._homes = homes
         self._loop = asyncio.get_running_loop()
@@ -97,7 +97,7 @@
             async with asyncio.timeout_at(limits.deadline + _ANSWER_GRACE_SECONDS):
                 return await channel.link.ask(message)
         except TimeoutError as error:
-            channel.link.tell(CloseChannel(channel.number))
+            channel.link.notify(CloseChannel(channel.number))
             raise self._timed_out(context.command) from error
         finally:
             self._running = None
@@ -178,9 +178,9 @@
         """The transaction is given up: the home rolls it back."""
         opened, self._open = self._open, None
         if opened is not None:
-            opened.link.tell(CloseChannel(opened.number))
+            opened.link.notify(CloseChannel(opened.number))
 
     def caller_left(self) -> None:
         """The caller has gone: the home begins nothing more for it."""
         if self._running is not None:
-            self._running.link.tell(CloseChannel(self._running.number))
+            self._running.link.notify(CloseChannel(self._running.number))
--- a/src/orchidwind/promoted/peers/peer_codec.py
+++ b/src/orchidwind/promoted/peers/peer_codec.py
@@ -1,4 +1,4 @@
-"""Avro encoding of the messages between proxies for managed groups (union `peer`)."""
+"""Avro encoding of the messages between proxies for promoted groups (union `peer`)."""
 
 from __future__ import annotations
 
--- a/src/orchidwind/promoted/peers/peer_link.py
+++ b/src/orchidwind/promoted/peers/peer_link.py
@@ -127,7 +127,7 @@
         finally:
             self._pending.pop(message.number, None)
 
-    def tell(self, message: PeerMessage) -> None:
+    def notify(self, message: PeerMessage) -> None:
         """Send what wants no answer, if the link is up."""
         if self._connection is not None:
             self._connection.send(message)
--- a/src/orchidwind/promoted/peers/peer_service.py
+++ b/src/orchidwind/promoted/peers/peer_service.py
@@ -19,7 +19,7 @@
     CommandResult,
     TransactionState,
 )
-from orchidwind.promoted.core.configuration import ManagedDatabase, ReadConsistency
+from orchidwind.promoted.core.configuration import DatabaseRoute, ReadConsistency
 from orchidwind.promoted.core.flow_parts import CommandContext
 from orchidwind.promoted.core.peer_messages import (
     Alive,
@@ -34,7 +34,7 @@
     ViewQuery,
     ViewReport,
 )
-from orchidwind.promoted.core.session import ManagedSession, OpenTransaction
+from orchidwind.promoted.core.session import OpenTransaction, Session
 from orchidwind.promoted.group.group_service import GroupService
 from orchidwind.shared.core.errors import ErrorKind, RequestError
 from orchidwind.shared.logs import log_event
@@ -49,7 +49,7 @@
 SendBack = Callable[[PeerMessage], None]
 GroupLookup = Callable[[str], GroupService | None]
 ReadLock = Callable[[int], Awaitable[LockReport]]
-TellView = Callable[[ViewQuery], ViewReport]
+ReportView = Callable[[ViewQuery], ViewReport]
 
 
 @dataclass(frozen=True, slots=True)
@@ -60,7 +60,7 @@
     registry: SessionRegistry
     read_lock: ReadLock
     transaction_idle: Callable[[], float]
-    tell_view: TellView
+    report_view: ReportView
 
 
 @dataclass(frozen=True, slots=True)
@@ -134,7 +134,7 @@
         """This proxy stops: others send their next transactions and statements elsewhere."""
         self.leaving = True
         for served in self._links:
-            served.tell_leaving()
+            served.announce_leaving()
 
 
 class ServedLink:
@@ -154,7 +154,7 @@
         self._send = writer.send
         self._on_greeting = on_greeting
         self._long_sends = long_sends
-        self._telling_whole = False
+        self._reporting_whole = False
         self._ended = False
         self._leaving = leaving
         self._channels: dict[int, _Channel] = {}
@@ -167,7 +167,7 @@
         elif isinstance(message, LockQuery):
             self._spawn(self._report_lock(message))
         elif isinstance(message, ViewQuery):
-            self._tell_view(message)
+            self._report_view(message)
         elif isinstance(message, Probe):
             self._send(Alive(self._leaving()))
         elif isinstance(message, CloseChannel):
@@ -180,30 +180,30 @@
             self.proxy = message.proxy
             self._on_greeting(self)
             if self._leaving():
-                self.tell_leaving()
+                self.announce_leaving()
 
-    def tell_leaving(self) -> None:
+    def announce_leaving(self) -> None:
         """Tell the other side that this proxy stops."""
         self._send(Alive(leaving=True))
 
-    def _tell_view(self, query: ViewQuery) -> None:
+    def _report_view(self, query: ViewQuery) -> None:
         """Tell a view; one that is still being sent on this link is not sent a second time."""
-        if not query.whole or self._telling_whole or self._long_sends.full:
-            self._send(self._home.tell_view(msgspec.structs.replace(query, whole=False)))
+        if not query.whole or self._reporting_whole or self._long_sends.full:
+            self._send(self._home.report_view(msgspec.structs.replace(query, whole=False)))
             return
-        self._telling_whole = True
-        self._spawn(self._tell_whole(query))
+        self._reporting_whole = True
+        self._spawn(self._report_whole(query))
 
-    async def _tell_whole(self, query: ViewQuery) -> None:
+    async def _report_whole(self, query: ViewQuery) -> None:
         async def send() -> None:
             if not self._ended:
-                self._send(self._home.tell_view(query))
+                self._send(self._home.report_view(query))
                 await self._writer.drained()
 
         try:
             await self._long_sends.send(send)
         finally:
-            self._telling_whole = False
+            self._reporting_whole = False
 
     @property
     def channels(self) -> int:
@@ -259,7 +259,7 @@
         self.resting = True
         self._home = home
         self._rest_timer: asyncio.TimerHandle | None = None
-        self._session = ManagedSession()
+        self._session = Session()
         self._runner = CommandRunner(self._session)
         self._group: GroupService | None = None
         self._loop = asyncio.get_running_loop()
@@ -328,7 +328,7 @@
 
     def _context(self, message: RunCommand, group: GroupService) -> CommandContext:
         session = self._session
-        database = ManagedDatabase(
+        database = DatabaseRoute(
             name=message.database,
             group=message.group,
             consistency=ReadConsistency(message.consistency),
--- a/src/orchidwind/promoted/peers/peer_streams.py
+++ b/src/orchidwind/promoted/peers/peer_streams.py
@@ -1,4 +1,4 @@
-"""Links between proxies for managed groups on TCP: the port `PeerConnector`, and the listener.
+"""Links between proxies for promoted groups on TCP: the port `PeerConnector`, and the listener.
 
 A side that gives a link up resets it: what the network still holds must not arrive later, as its
 sender has answered its caller by then.
--- a/src/orchidwind/promoted/ports.py
+++ b/src/orchidwind/promoted/ports.py
@@ -1,4 +1,4 @@
-"""The ports of a managed proxy. Each has an adapter for a protocol, and one in the tests."""
+"""The ports of a proxy of promoted groups, each with an adapter for a protocol and for tests."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from typing import Generic, Protocol, TypeVar
 
 from orchidwind.promoted.core.commands import InstanceMessage, InstanceStatus, Reply
-from orchidwind.promoted.core.configuration import DirectoryEntry, ManagedConfiguration
+from orchidwind.promoted.core.configuration import DirectoryEntry, PromotedConfiguration
 from orchidwind.promoted.core.failover_steps import PromotionAnswer
 from orchidwind.promoted.core.homes import ProxyMember
 from orchidwind.promoted.core.peer_messages import PeerMessage
@@ -87,7 +87,7 @@
 LockSource = WatchedCollection[LockRecord]
 RosterSource = WatchedCollection[Roster]
 MemberSource = WatchedCollection[ProxyMember]
-ConfigurationSource = WatchedCollection[ManagedConfiguration]
+ConfigurationSource = WatchedCollection[PromotedConfiguration]
 
 
 class PromotionLockStore(Protocol):
@@ -109,14 +109,14 @@
     """A proxy that may hold a lead lease, and what it wrote when it last dropped it.
 
     `revision` is the lock's at that time, `first_revision` the lock's when the process began.
-    `told` is, by group, the end of the primary's log up to which it may have told commits. One that
-    has `left` holds no lease any more.
+    `acknowledged` is, by group, the end of the primary's log up to which it may have acknowledged
+    commits. One that has `left` holds no lease any more.
     """
 
     node: str
     revision: int
     first_revision: int = 0
-    told: Mapping[str, Position] = field(default_factory=dict)
+    acknowledged: Mapping[str, Position] = field(default_factory=dict)
     left: bool = False
 
 
--- a/src/orchidwind/promoted/proxy_runtime.py
+++ b/src/orchidwind/promoted/proxy_runtime.py
@@ -1,4 +1,4 @@
-"""One proxy for managed groups: configuration, directory, groups and sessions."""
+"""One proxy for promoted groups: configuration, directory, groups and sessions."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 from orchidwind.promoted.core.commands import Command
 from orchidwind.promoted.core.configuration import (
     DEFAULT_TRANSACTION_IDLE_SECONDS,
+    DatabaseRoute,
     DirectoryEntry,
-    ManagedConfiguration,
-    ManagedDatabase,
+    PromotedConfiguration,
 )
 from orchidwind.promoted.core.homes import ProxyMember
 from orchidwind.promoted.group.failover_runner import PromotionLockClient
 from orchidwind.promoted.group.group_service import GroupService
 from orchidwind.promoted.group.group_supervision import GroupSupervision
 from orchidwind.promoted.group.lease_keeper import LeaseKeeper
-from orchidwind.promoted.group.operator_status import ManagedStatus, group_status
+from orchidwind.promoted.group.operator_status import OperatorStatus, group_status
 from orchidwind.promoted.group.roster_keeper import RosterKeeper
-from orchidwind.promoted.metrics import ManagedMetrics
+from orchidwind.promoted.metrics import ProxyMetrics
 from orchidwind.promoted.peers.peer_network import PeerNetwork
 from orchidwind.promoted.peers.peer_service import HomePorts, PeerService
 from orchidwind.promoted.ports import NodePorts
@@ -42,7 +42,7 @@
 _FIGURES_SECONDS = 10.0
 
 
-class ManagedNode:
+class ProxyRuntime:
     """Keeps the groups in step with configuration and directory."""
 
     def __init__(
@@ -50,13 +50,13 @@
         own: ProxyMember,
         ports: NodePorts,
         bounds: NodeBounds | None = None,
-        metrics: ManagedMetrics | None = None,
+        metrics: ProxyMetrics | None = None,
     ) -> None:
         self._bounds = bounds or NodeBounds()
         self.name = name = own.name
         self.zone = own.zone
-        self.metrics = metrics or ManagedMetrics()
-        self.configuration: ManagedConfiguration | None = None
+        self.metrics = metrics or ProxyMetrics()
+        self.configuration: PromotedConfiguration | None = None
         self.transaction_idle = DEFAULT_TRANSACTION_IDLE_SECONDS
         self.groups: dict[str, GroupService] = {}
         self._ports = ports
@@ -99,7 +99,7 @@
         self._spawn(self._follow_members)
         self._spawn(self._forget_old)
         self._spawn(self._trim)
-        self._spawn(self._tell_figures)
+        self._spawn(self._log_figures)
 
     async def _follow_members(self) -> None:
         is_new = await self.homes.write_own()
@@ -165,7 +165,7 @@
 
     # --- Databases ----------------------------------------------------------------------------
 
-    def database(self, name: str) -> ManagedDatabase | None:
+    def database(self, name: str) -> DatabaseRoute | None:
         """A database as callers name it."""
         return None if self.configuration is None else self.configuration.databases.get(name)
 
@@ -183,7 +183,7 @@
         return self._successes % _LOGGED_SUCCESSES == 0
 
     def finished(
-        self, database: ManagedDatabase, command: Command, error: ErrorKind | None, seconds: float
+        self, database: DatabaseRoute, command: Command, error: ErrorKind | None, seconds: float
     ) -> None:
         """A command ended."""
         self.metrics.finished(database.consistency.value, command.kind, error, seconds)
@@ -199,7 +199,7 @@
 
     # --- configuration ------------------------------------------------------------------------
 
-    def adopt(self, configuration: ManagedConfiguration) -> bool:
+    def adopt(self, configuration: PromotedConfiguration) -> bool:
         """Put a configuration in force, unless it or a later one is; whether it was."""
         current = self.configuration
         if current is not None and configuration.version <= current.version:
@@ -241,7 +241,7 @@
         for entry in self.directory.values():
             if entry.group == name:
                 group.entry_changed(entry)
-        self.rosters.tell(name)
+        self.rosters.apply(name)
         supervision = GroupSupervision(
             group,
             wake,
@@ -313,13 +313,13 @@
             log_event("prepared", version=self.configuration.version)
         self._prepared.set()
 
-    async def _tell_figures(self) -> None:
+    async def _log_figures(self) -> None:
         while True:
             await asyncio.sleep(_FIGURES_SECONDS)
             log_event("figures", **self.metrics.message_counts())
             log_event("attempts", **self.metrics.attempt_counts())
             log_event("store_calls", **self.metrics.store_call_counts())
-            log_event("views_told", **self.metrics.view_report_counts())
+            log_event("views_reported", **self.metrics.view_report_counts())
             log_event("silent_connections", **self.metrics.silent_counts())
 
     async def _trim(self) -> None:
@@ -328,10 +328,10 @@
             for group in self.groups.values():
                 group.trim()
 
-    def status(self) -> ManagedStatus:
+    def status(self) -> OperatorStatus:
         """What this proxy believes, for operators."""
         now = asyncio.get_running_loop().time()
-        return ManagedStatus(
+        return OperatorStatus(
             node=self.name,
             zone=self.zone,
             prepared=self.prepared,
--- a/src/orchidwind/promoted/views/collection_watch.py
+++ b/src/orchidwind/promoted/views/collection_watch.py
@@ -1,7 +1,7 @@
 """Follows a collection of the store: lists it once, then takes changes as they come.
 
 A watch without an answer looks the same whether nothing has changed or the store never read it. So
-each view has an age (`core.managed.freshness`): as it grows, other proxies are asked whether it is
+each view has an age (`promoted.core.freshness`): as it grows, other proxies are asked whether it is
 still current, and in the end the store is read anew, whatever was waited for.
 """
 
@@ -44,7 +44,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ToldView(Generic[Item]):
+class ReportedView(Generic[Item]):
     """What another proxy told of its view, which was current at `as_of` of this one's clock.
 
     `listing` is None where the asking proxy's own view holds the same, or with `omitted`, where the
@@ -63,7 +63,7 @@
     def relied_upon(self) -> bool:
         """Whether others ask this proxy, so that it must not rely on them in its turn."""
 
-    async def ask(self, revision: int, whole: bool) -> ToldView[Item] | None:
+    async def ask(self, revision: int, whole: bool) -> ReportedView[Item] | None:
         """Ask for what is later than a revision; None where nobody knows.
 
         With `whole` a long content is wanted, too.
@@ -103,7 +103,7 @@
         self.changed_revision = -1
         self._read_next = True
         self._connected = False
-        self._told_too_old = False
+        self._logged_too_old = False
         self._retry = _FIRST_RETRY_SECONDS
         self._failed_attempts = 0
         # Since when the store is read without an answer; None where it is not being read.
@@ -122,15 +122,15 @@
             try:
                 await self._step()
             except PlatformVersionGone:
-                self._tell("watch_history_gone")
+                self._log("watch_history_gone")
                 self._read_next = True
             except _ReadAnew as error:
-                self._tell("watch_given_up", reason=error)
+                self._log("watch_given_up", reason=error)
                 self._read_next = True
             except PlatformError as error:
                 await self._after_error(error)
             except Exception as error:  # a fault of this program must not end the following
-                self._tell("watch_failed_unexpectedly", logging.ERROR, reason=repr(error))
+                self._log("watch_failed_unexpectedly", logging.ERROR, reason=repr(error))
                 await self._after_error(PlatformError(repr(error)))
 
     async def refresh(self) -> bool:
@@ -138,7 +138,7 @@
         try:
             await self._read(Arrival())
         except PlatformError as error:
-            self._tell("view_not_refreshed", reason=error)
+            self._log("view_not_refreshed", reason=error)
             return False
         return True
 
@@ -244,7 +244,7 @@
         """Ask others where that is due; raises _ReadAnew where the store must be read."""
         knows_more = await self._ask_others()
         now = self._loop.time()
-        self._tell_if_too_old(now)
+        self._log_if_too_old(now)
         if may_be_old:
             return
         if knows_more:
@@ -274,7 +274,7 @@
         since = self._unserved_since
         return since is not None and now - since > self._times.hedge_after
 
-    def _outdated(self, told: ToldView[Item]) -> bool:
+    def _outdated(self, told: ReportedView[Item]) -> bool:
         """Whether a first view is older than the promise allows: then the store is waited for."""
         bound = self._times.bound
         first = self.revision < 0
@@ -286,8 +286,13 @@
         if source == _STORE:
             self._note_connected(listing.revision)
         elif listing.revision > self.revision:
-            told_age = round(self._loop.time() - as_of, 3)
-            self._tell("view_told", peer=source, told_revision=listing.revision, told_age=told_age)
+            reported_age = round(self._loop.time() - as_of, 3)
+            self._log(
+                "view_reported",
+                peer=source,
+                reported_revision=listing.revision,
+                reported_age=reported_age,
+            )
         # An answer that was overtaken by a later one tells nothing new.
         if listing.revision >= self.revision:
             if self._follower.listed(listing) or self.revision < 0:
@@ -306,22 +311,22 @@
 
     def _confirmed(self, as_of: float) -> None:
         self._age.confirmed(as_of)
-        if self._told_too_old and not self._age.too_old(self._loop.time()):
-            self._told_too_old = False
-            self._tell("view_current_again")
+        if self._logged_too_old and not self._age.too_old(self._loop.time()):
+            self._logged_too_old = False
+            self._log("view_current_again")
 
-    def _tell_if_too_old(self, now: float) -> None:
-        if self._told_too_old or not self._age.too_old(now):
+    def _log_if_too_old(self, now: float) -> None:
+        if self._logged_too_old or not self._age.too_old(now):
             return
-        self._told_too_old = True
-        self._tell(
+        self._logged_too_old = True
+        self._log(
             "view_too_old",
             logging.WARNING,
             bound=self._times.bound,
             decision="serve on, as nobody reached knows better",
         )
 
-    def _tell(self, event: str, level: int = logging.INFO, **fields: object) -> None:
+    def _log(self, event: str, level: int = logging.INFO, **fields: object) -> None:
         """Log an event with what this view is and how old."""
         log_event(
             event,
@@ -336,7 +341,7 @@
         self._retry = _FIRST_RETRY_SECONDS
         if not self._connected:
             self._connected = True
-            self._tell("watch_connected", revision=revision, failed_attempts=self._failed_attempts)
+            self._log("watch_connected", revision=revision, failed_attempts=self._failed_attempts)
         self._failed_attempts = 0
         self._unserved_since = None
 
@@ -346,7 +351,7 @@
         self._failed_attempts += 1
         if _is_power_of_two(self._failed_attempts):
             event = "watch_lost" if self._failed_attempts == 1 else "watch_attempt_failed"
-            self._tell(event, attempt=self._failed_attempts, reason=error)
+            self._log(event, attempt=self._failed_attempts, reason=error)
         await self._check(may_be_old=True)
         await asyncio.sleep(self._retry)
         longest = self._times.relying_pause if self._relies else self._times.longest_pause
--- a/src/orchidwind/promoted/views/followed_views.py
+++ b/src/orchidwind/promoted/views/followed_views.py
@@ -7,13 +7,13 @@
 from dataclasses import dataclass
 from typing import Any
 
-from orchidwind.promoted.core.configuration import DirectoryEntry, ManagedConfiguration
+from orchidwind.promoted.core.configuration import DirectoryEntry, PromotedConfiguration
 from orchidwind.promoted.core.freshness import FollowTimes
 from orchidwind.promoted.core.homes import ProxyMember
 from orchidwind.promoted.core.topology import DEFAULT_ENTRY_OUTLIVES_SECONDS
 from orchidwind.promoted.group.lease_keeper import LeaseKeeper
 from orchidwind.promoted.group.roster_keeper import RosterKeeper
-from orchidwind.promoted.metrics import ManagedMetrics
+from orchidwind.promoted.metrics import ProxyMetrics
 from orchidwind.promoted.peers.peer_network import PeerNetwork
 from orchidwind.promoted.ports import NodePorts
 from orchidwind.promoted.views.collection_watch import CollectionFollower, CollectionWatch
@@ -22,9 +22,9 @@
     DIRECTORY,
     MEMBERS,
     PeerViews,
-    told_configuration,
-    told_directory,
-    told_members,
+    reported_configuration,
+    reported_directory,
+    reported_members,
 )
 
 PROMOTION_LOCK = "promotion_lock"
@@ -64,7 +64,7 @@
         ports: NodePorts,
         bounds: NodeBounds,
         network: PeerNetwork,
-        metrics: ManagedMetrics,
+        metrics: ProxyMetrics,
         spawn: Spawn,
     ) -> None:
         """`spawn` runs work in the background until the proxy closes."""
@@ -75,12 +75,12 @@
         self._metrics = metrics
         self._spawn = spawn
 
-    def follow_configuration(self, follower: CollectionFollower[ManagedConfiguration]) -> None:
+    def follow_configuration(self, follower: CollectionFollower[PromotedConfiguration]) -> None:
         """Follow the configuration; every proxy does, and any may confirm it."""
-        times = FollowTimes.within(self._bounds.configuration, told_at_once=False)
+        times = FollowTimes.within(self._bounds.configuration, watched_by_all=False)
         network = self._network
         peers = PeerViews(
-            CONFIGURATION, times, network, lambda: network.members, told_configuration
+            CONFIGURATION, times, network, lambda: network.members, reported_configuration
         )
         source = self._ports.configuration
         self._follow(
@@ -91,9 +91,9 @@
 
     def follow_members(self) -> None:
         """Follow the list of proxies; every proxy does, and any may confirm it."""
-        times = FollowTimes.within(self._bounds.members, told_at_once=False)
+        times = FollowTimes.within(self._bounds.members, watched_by_all=False)
         network = self._network
-        peers = PeerViews(MEMBERS, times, network, lambda: network.members, told_members)
+        peers = PeerViews(MEMBERS, times, network, lambda: network.members, reported_members)
         source = self._ports.member_source
         self._follow(
             CollectionWatch(
@@ -114,7 +114,7 @@
     ) -> None:
         """Follow the directory; `followers` gives the proxies that do so and may confirm it."""
         times = FollowTimes.within(self._bounds.directory)
-        peers = PeerViews(DIRECTORY, times, self._network, followers, told_directory)
+        peers = PeerViews(DIRECTORY, times, self._network, followers, reported_directory)
         source = self._ports.directory
         self._follow(
             CollectionWatch(
--- a/src/orchidwind/promoted/views/peer_views.py
+++ b/src/orchidwind/promoted/views/peer_views.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from orchidwind.promoted.core.configuration import DirectoryEntry, ManagedConfiguration
+from orchidwind.promoted.core.configuration import DirectoryEntry, PromotedConfiguration
 from orchidwind.promoted.core.freshness import FollowTimes
 from orchidwind.promoted.core.homes import ProxyMember, zone_readers
 from orchidwind.promoted.core.peer_messages import (
@@ -25,11 +25,11 @@
     ViewQuery,
     ViewReport,
 )
-from orchidwind.promoted.metrics import ManagedMetrics
+from orchidwind.promoted.metrics import ProxyMetrics
 from orchidwind.promoted.peers.peer_link import REST_PROBE_SECONDS, PeerLink
 from orchidwind.promoted.peers.peer_network import PeerNetwork
 from orchidwind.promoted.ports import Changes, Listing
-from orchidwind.promoted.views.collection_watch import CollectionWatch, ToldView
+from orchidwind.promoted.views.collection_watch import CollectionWatch, ReportedView
 from orchidwind.shared.core.errors import PeerUnavailable
 from orchidwind.shared.logs import log_event
 
@@ -37,7 +37,7 @@
 DIRECTORY = "directory"
 MEMBERS = "members"
 # Between two zones an answer takes some milliseconds, on a machine slowed fivefold some dozens. A
-# link that says nothing finds that out by itself after 0.4 s (`managed.peer_link`).
+# link that says nothing finds that out by itself after 0.4 s (`promoted.peers.peer_link`).
 _ANSWER_SECONDS = 0.5
 # A longer content is not told unasked: the others read it at the store, which has the bandwidth. A
 # report with so many has about 10 KB; told to 30 proxies at once it takes 0.25 s of a link of 10
@@ -91,12 +91,12 @@
             self._zone_readers = zone_readers(self._view, self._followers())
         return self._zone_readers
 
-    async def ask(self, revision: int, whole: bool) -> ToldView[Item] | None:
+    async def ask(self, revision: int, whole: bool) -> ReportedView[Item] | None:
         """Ask one or two readers; the best that was told, None where nobody knows.
 
         With `whole` they send the content however long it is.
         """
-        best: ToldView[Item] | None = None
+        best: ReportedView[Item] | None = None
         for link in self._links()[:_MOST_ASKED]:
             told = await self._ask_one(link, revision, whole)
             if told is not None and (best is None or _better(told, best)):
@@ -105,7 +105,7 @@
                 break
         return best
 
-    def _suffices(self, told: ToldView[Item], whole: bool) -> bool:
+    def _suffices(self, told: ReportedView[Item], whole: bool) -> bool:
         """Whether nobody else need be asked."""
         if whole and told.omitted:
             return False
@@ -123,23 +123,27 @@
         links = [self._network.usable_link(member) for member in order if member.name != own.name]
         return [link for link in links if link is not None]
 
-    async def _ask_one(self, link: PeerLink, revision: int, whole: bool) -> ToldView[Item] | None:
+    async def _ask_one(
+        self, link: PeerLink, revision: int, whole: bool
+    ) -> ReportedView[Item] | None:
         asked_at = self._loop.time()
         try:
             async with asyncio.timeout(self._whole_seconds if whole else _ANSWER_SECONDS):
                 report = await link.ask_view(self._view, revision, whole, self._seldom)
         except (PeerUnavailable, TimeoutError) as error:
             reason = str(error) or "no answer in time"
-            log_event("view_not_told", collection=self._view, peer=link.member.name, reason=reason)
+            log_event(
+                "view_not_reported", collection=self._view, peer=link.member.name, reason=reason
+            )
             return None
         if not report.known:
             return None
         items = self._items(report)
         listing = Listing(items, report.revision) if items is not None else None
-        return ToldView(link.member.name, asked_at - report.age, listing, report.omitted)
+        return ReportedView(link.member.name, asked_at - report.age, listing, report.omitted)
 
 
-def _better(told: ToldView[Any], best: ToldView[Any]) -> bool:
+def _better(told: ReportedView[Any], best: ReportedView[Any]) -> bool:
     """Whether an answer tells more than another."""
     return (told.listing is not None, told.as_of) > (best.listing is not None, best.as_of)
 
@@ -147,9 +151,9 @@
 class FollowedViews(Protocol):
     """What a proxy holds of the views that it tells others."""
 
-    configuration: ManagedConfiguration | None
+    configuration: PromotedConfiguration | None
     directory: dict[str, DirectoryEntry]
-    metrics: ManagedMetrics
+    metrics: ProxyMetrics
 
     @property
     def members(self) -> Iterable[ProxyMember]:
@@ -172,12 +176,12 @@
             return ViewReport(query.number, known=False, age=0.0, revision=-1)
         report = ViewReport(query.number, known=True, age=watch.age, revision=watch.revision)
         if watch.changed_revision <= query.revision:
-            self._node.metrics.view_told(query.view, "confirmed", 0)
+            self._node.metrics.view_reported(query.view, "confirmed", 0)
             return report
         if not query.whole and self._items(query.view) > MOST_TOLD_ITEMS:
-            self._node.metrics.view_told(query.view, "omitted", 0)
+            self._node.metrics.view_reported(query.view, "omitted", 0)
             return omitted(report)
-        self._node.metrics.view_told(query.view, "content", self._items(query.view))
+        self._node.metrics.view_reported(query.view, "content", self._items(query.view))
         return self._with_content(report, query.view)
 
     def _items(self, view: str) -> int:
@@ -219,22 +223,22 @@
     )
 
 
-def told_configuration(report: ViewReport) -> tuple[ManagedConfiguration, ...] | None:
+def reported_configuration(report: ViewReport) -> tuple[PromotedConfiguration, ...] | None:
     """The configuration that a report holds, None where there is none."""
     told = report.configuration
     if told is None:
         return None
     databases = {database.name: database for database in told.databases}
     groups = {group.name: group for group in told.groups}
-    return (ManagedConfiguration(told.version, databases, groups, told.transaction_idle),)
+    return (PromotedConfiguration(told.version, databases, groups, told.transaction_idle),)
 
 
-def told_members(report: ViewReport) -> tuple[ProxyMember, ...] | None:
+def reported_members(report: ViewReport) -> tuple[ProxyMember, ...] | None:
     """The members that a report holds, None where there are none."""
     return None if report.members is None else report.members.proxies
 
 
-def told_directory(report: ViewReport) -> tuple[DirectoryEntry, ...] | None:
+def reported_directory(report: ViewReport) -> tuple[DirectoryEntry, ...] | None:
     """The directory that a report holds, None where there is none."""
     return None if report.directory is None else report.directory.entries
 
@@ -242,15 +246,15 @@
 class ConfigurationFollower:
     """Passes configurations on."""
 
-    def __init__(self, adopt: Callable[[ManagedConfiguration], bool]) -> None:
+    def __init__(self, adopt: Callable[[PromotedConfiguration], bool]) -> None:
         """`adopt` puts a configuration in force; whether it is a later one."""
         self._adopt = adopt
 
-    def listed(self, listing: Listing[ManagedConfiguration]) -> bool:
+    def listed(self, listing: Listing[PromotedConfiguration]) -> bool:
         """The configuration as it is; whether it is a later one."""
         return any([self._adopt(item) for item in listing.items])
 
-    def changed(self, changes: Changes[ManagedConfiguration]) -> None:
+    def changed(self, changes: Changes[PromotedConfiguration]) -> None:
         """A later one."""
         for item in changes.changed:
             self._adopt(item)
--- a/src/orchidwind_bench/promoted/exploration/acknowledgement.py
+++ b/src/orchidwind_bench/promoted/exploration/acknowledgement.py
@@ -90,7 +90,7 @@
         while proxy.now() < give_up:
             if self._leased(proxy, primary):
                 return True
-            outcome = _told_by_successor(proxy, position)
+            outcome = _acknowledged_under_successor(proxy, position)
             if outcome is not None:
                 return outcome
             revision = proxy.free_revision()
@@ -136,7 +136,7 @@
     return bool(set(proxy.listed()) - told.keys() - {primary, replaced})
 
 
-def _told_by_successor(proxy: AcknowledgingProxy, position: Position) -> bool | None:
+def _acknowledged_under_successor(proxy: AcknowledgingProxy, position: Position) -> bool | None:
     """Whether the next primary's log began with a commit in it; None while not known."""
     last = proxy.last_promotion()
     if last is None or last.term <= position.term:
--- a/src/orchidwind_bench/promoted/simulation/callers.py
+++ b/src/orchidwind_bench/promoted/simulation/callers.py
@@ -11,7 +11,7 @@
 from orchidwind.promoted.core.configuration import ReadConsistency
 from orchidwind.promoted.core.homes import ProxyMember
 from orchidwind.promoted.ports import NodePorts
-from orchidwind.promoted.proxy_runtime import ManagedNode
+from orchidwind.promoted.proxy_runtime import ProxyRuntime
 from orchidwind.shared.core.errors import ANSWERS, ErrorKind, Ran, RequestError
 from orchidwind_bench.promoted.simulation.connections import SimulatedConnector
 from orchidwind_bench.promoted.simulation.groups import SimulatedGroup
@@ -61,7 +61,7 @@
     """What callers need of the system that they ask."""
 
     world: World
-    nodes: dict[str, ManagedNode]
+    nodes: dict[str, ProxyRuntime]
     tally: Tally
 
 
@@ -210,7 +210,7 @@
         await self._run(command)
 
 
-class ManagedSystem:
+class PromotedSystem:
     """Some proxies, one group of instances, and callers on each proxy."""
 
     def __init__(
@@ -224,7 +224,7 @@
         self.world = World(seed, connection_limit)
         self.group = SimulatedGroup(self.world, (ZONES * 2)[:instances], seed)
         self.tally = Tally()
-        self.nodes: dict[str, ManagedNode] = {}
+        self.nodes: dict[str, ProxyRuntime] = {}
         self._proxies = proxies
         self.links = SimulatedLinks(self.world, self.nodes)
         self.start_proxies()
@@ -246,7 +246,7 @@
             self.nodes[name].close()
         zone = ZONES[self._proxies.index(name) % len(ZONES)]
         own = ProxyMember(name, zone, name, _PEER_PORT)
-        self.nodes[name] = ManagedNode(own, self._ports(name))
+        self.nodes[name] = ProxyRuntime(own, self._ports(name))
         self.nodes[name].start()
 
     def _ports(self, name: str) -> NodePorts:
--- a/src/orchidwind_bench/promoted/simulation/fleet.py
+++ b/src/orchidwind_bench/promoted/simulation/fleet.py
@@ -23,10 +23,10 @@
 from orchidwind.promoted.core.configuration import DirectoryEntry, ReadConsistency
 from orchidwind.promoted.core.failover_steps import PromotionAnswer
 from orchidwind.promoted.ports import NodePorts
-from orchidwind.promoted.proxy_runtime import ManagedNode
+from orchidwind.promoted.proxy_runtime import ProxyRuntime
 from orchidwind.shared.core.errors import ANSWERS, ErrorKind, Ran, RequestError
 from orchidwind_bench.promoted.simulation.callers import (
-    ManagedSystem,
+    PromotedSystem,
     SimulatedCaller,
     Tally,
     check_told,
@@ -164,7 +164,7 @@
 
     name: str
     world: World
-    nodes: dict[str, ManagedNode]
+    nodes: dict[str, ProxyRuntime]
     group: SimulatedGroup
     tally: Tally = field(default_factory=Tally)
 
@@ -223,7 +223,7 @@
         return spent < _OPERATION_SECONDS and (promised or not self._final_sent)
 
 
-class FleetSystem(ManagedSystem):
+class FleetSystem(PromotedSystem):
     """Proxies, groups, and callers. `sides` has the groups by name."""
 
     def __init__(
--- a/src/orchidwind_bench/promoted/simulation/instances.py
+++ b/src/orchidwind_bench/promoted/simulation/instances.py
@@ -1,4 +1,4 @@
-"""Simulated instances of a managed group: logs, terms, fences, crashes and pauses."""
+"""Simulated instances of a promoted group: logs, terms, fences, crashes and pauses."""
 
 from __future__ import annotations
 
--- a/src/orchidwind_bench/promoted/simulation/peers.py
+++ b/src/orchidwind_bench/promoted/simulation/peers.py
@@ -11,7 +11,7 @@
 from orchidwind.promoted.core.peer_messages import PeerMessage
 from orchidwind.promoted.peers.peer_codec import encode_peer
 from orchidwind.promoted.peers.peer_service import LinkWriter, ServedLink
-from orchidwind.promoted.proxy_runtime import ManagedNode
+from orchidwind.promoted.proxy_runtime import ProxyRuntime
 from orchidwind.shared.core.errors import PeerUnavailable
 from orchidwind_bench.promoted.simulation.network import LATENCY_SECONDS
 from orchidwind_bench.promoted.simulation.world import World
@@ -20,7 +20,7 @@
 class SimulatedLinks:
     """All links that are open; the proxies come and go."""
 
-    def __init__(self, world: World, nodes: Mapping[str, ManagedNode]) -> None:
+    def __init__(self, world: World, nodes: Mapping[str, ProxyRuntime]) -> None:
         self.world = world
         self.nodes = nodes
         self.links: set[SimulatedPeerLink] = set()
--- a/src/orchidwind_bench/promoted/soak/callers.py
+++ b/src/orchidwind_bench/promoted/soak/callers.py
@@ -53,7 +53,7 @@
 class Record:
     """All that the callers of one group were told, and which promises were broken.
 
-    `told_by` has the time and the proxy of each acknowledgement; `excused` are those told by a
+    `acknowledged_by` has the time and the proxy of each acknowledgement; `excused` are those of a
     proxy that was disturbed a moment before. `old_reads` are reads that showed too little, unless
     what they should have shown was lost.
     """
@@ -62,7 +62,7 @@
     refused: set[tuple[str, int]] = field(default_factory=set)
     broken: list[str] = field(default_factory=list)
     answers: dict[str, int] = field(default_factory=dict)
-    told_by: dict[tuple[str, int], tuple[float, str]] = field(default_factory=dict)
+    acknowledged_by: dict[tuple[str, int], tuple[float, str]] = field(default_factory=dict)
     excused: set[tuple[str, int]] = field(default_factory=set)
     old_reads: list[ShownNumber] = field(default_factory=list)
 
@@ -206,7 +206,7 @@
         now = time.monotonic()
         told = self._record.acknowledged.setdefault(self._thing, [])
         told.append((now, number))
-        self._record.told_by[(self._thing, number)] = (now, self._proxy)
+        self._record.acknowledged_by[(self._thing, number)] = (now, self._proxy)
         if self._system.quiet_seconds(self._proxy, now) < THAW_SLACK_SECONDS:
             self._record.excused.add((self._thing, number))
         self._record.count("ok")
