--- a/src/orchidwind/elected/core/commit_barrier.py
+++ b/src/orchidwind/elected/core/commit_barrier.py
@@ -15,6 +15,11 @@
 from orchidwind.elected.core.group_view import GroupView, InstanceReport
 from orchidwind.shared.core.positions import Position
 
+# Chosen: how long a commit waits for its confirmation though its request's deadline passes; then
+# its outcome is unknown. It spans several status rounds (`polling.py`), so that one slow instance
+# does not turn a commit that lasts into one that is in doubt.
+CONFIRM_SECONDS = 2.0
+
 
 @unique
 class Acknowledge(Enum):
@@ -65,6 +70,11 @@
         self._view = view
         self._acknowledge = acknowledge
 
+    @property
+    def oldest(self) -> float | None:
+        """When the commit that waits for longest was answered, None where none waits."""
+        return min((commit.committed_at for commit in self.pending.values()), default=None)
+
     def add(self, commit: PendingCommit) -> list[BarrierDecision]:
         """Wait for a commit; a term that is already superseded is decided at once."""
         if self._view.highest_term > commit.term:
--- a/src/orchidwind/elected/core/flow_parts.py
+++ b/src/orchidwind/elected/core/flow_parts.py
@@ -81,22 +81,7 @@
         return primary, connection
 
 
-def write_lost() -> RequestError:
-    """The answer to a write that may have run."""
-    return RequestError(
-        ErrorKind.OUTCOME_UNKNOWN, "the answer to a write was lost; it may or may not have run"
-    )
-
-
 def refused_by_replica(result: RunResult) -> bool:
     """The instance is no longer the primary; it refused the statement, so nothing ran."""
     refused = result.error is not None and result.error.sqlstate == READ_ONLY_TRANSACTION
     return refused and not result.delivered
-
-
-def transaction_lost() -> RequestError:
-    """The answer to a statement whose transaction is known to be rolled back."""
-    return RequestError(
-        ErrorKind.TRANSACTION_LOST,
-        "the transaction's server connection was lost; nothing of it ran",
-    )
--- a/src/orchidwind/elected/core/flows.py
+++ b/src/orchidwind/elected/core/flows.py
@@ -19,12 +19,16 @@
     connect_primary,
     refused_by_replica,
     run,
-    transaction_lost,
-    write_lost,
 )
 from orchidwind.elected.core.group_view import PrimaryReference
 from orchidwind.elected.core.ledger import claim_statement
 from orchidwind.elected.core.named_write import named_write_flow
+from orchidwind.elected.core.request_errors import (
+    read_interrupted,
+    transaction_lost,
+    write_lost,
+    write_not_confirmed,
+)
 from orchidwind.elected.core.routing import Route
 from orchidwind.elected.core.statements import (
     TRANSACTION_IDLE,
@@ -103,7 +107,7 @@
                 continue
             exhausted = lost.delivered or attempt >= _READ_ATTEMPTS
             if exhausted or not (yield TakeRetry()):
-                raise _read_interrupted() from lost
+                raise read_interrupted() from lost
             continue
         yield Release(connection, reusable=result.transaction_status == TRANSACTION_IDLE)
         if result.error is not None:
@@ -117,10 +121,6 @@
         )
 
 
-def _read_interrupted() -> RequestError:
-    return RequestError(ErrorKind.READ_INTERRUPTED, "the server connection was lost in a read")
-
-
 def token_flow(request: StatementRequest) -> Flow:
     """A position that covers all that the session wrote and read."""
     floor = yield from _fresh_floor(request.floor.position, request.floor.last_read_instance)
@@ -164,10 +164,7 @@
     try:
         position = yield WaitForConfirmation(primary.instance, primary.term)
     except RequestError as error:
-        raise RequestError(
-            ErrorKind.OUTCOME_UNKNOWN,
-            "the write was not confirmed by a majority in time; it may or may not last",
-        ) from error
+        raise write_not_confirmed() from error
     assert isinstance(position, Position)
     return Outcome(request.number, tag=tag, instance=primary.instance, position=position)
 
--- a/src/orchidwind/elected/core/named_write.py
+++ b/src/orchidwind/elected/core/named_write.py
@@ -10,8 +10,6 @@
     connect_primary,
     refused_by_replica,
     run,
-    transaction_lost,
-    write_lost,
 )
 from orchidwind.elected.core.group_view import PrimaryReference
 from orchidwind.elected.core.ledger import (
@@ -21,6 +19,7 @@
     complete_statement,
     lookup_statement,
 )
+from orchidwind.elected.core.request_errors import transaction_lost, write_lost
 from orchidwind.elected.core.statements import (
     TRANSACTION_IDLE,
     Outcome,
--- /dev/null
+++ b/src/orchidwind/elected/core/open_transactions.py
@@ -0,0 +1,61 @@
+"""The open transactions at a home, by the channel of the session that each belongs to.
+
+Owns which server connection is bound to which session. Times are in seconds of the home's
+monotonic clock.
+"""
+
+from __future__ import annotations
+
+from orchidwind.elected.core.statements import ChannelKey
+from orchidwind.elected.core.steps import BindTransaction, OpenTransaction
+
+
+class OpenTransactions:
+    """Transactions that have begun and not ended."""
+
+    def __init__(self, idle_seconds: float) -> None:
+        """A transaction without a statement for `idle_seconds` is to be ended."""
+        self.by_channel: dict[ChannelKey, OpenTransaction] = {}
+        self._idle_seconds = idle_seconds
+
+    def __len__(self) -> int:
+        return len(self.by_channel)
+
+    def __contains__(self, channel: ChannelKey) -> bool:
+        return channel in self.by_channel
+
+    def bind(self, now: float, channel: ChannelKey, step: BindTransaction) -> None:
+        """A session's transaction has begun on a connection."""
+        self.by_channel[channel] = OpenTransaction(
+            step.connection, step.instance, step.term, step.read_only, last_used=now
+        )
+
+    def use(self, now: float, channel: ChannelKey) -> OpenTransaction | None:
+        """The session's transaction, which a statement uses now; None where it has none."""
+        transaction = self.by_channel.get(channel)
+        if transaction is not None:
+            transaction.last_used = now
+        return transaction
+
+    def end(self, channel: ChannelKey) -> OpenTransaction | None:
+        """The session's transaction is over; what it was, None where there was none."""
+        return self.by_channel.pop(channel, None)
+
+    def connection_lost(self, connection: int) -> None:
+        """A transaction that rested on this connection is gone with it."""
+        for channel, transaction in list(self.by_channel.items()):
+            if transaction.connection == connection:
+                del self.by_channel[channel]
+
+    def idle(self, now: float) -> list[ChannelKey]:
+        """Sessions whose last statement in a transaction began too long ago."""
+        return [
+            channel
+            for channel, transaction in self.by_channel.items()
+            if now >= transaction.last_used + self._idle_seconds
+        ]
+
+    def deadline(self) -> float:
+        """When the next of them counts as idle, infinity where none is open."""
+        due = (item.last_used + self._idle_seconds for item in self.by_channel.values())
+        return min(due, default=float("inf"))
--- /dev/null
+++ b/src/orchidwind/elected/core/request_steps.py
@@ -0,0 +1,110 @@
+"""Carries out the steps of requests at a home, each by the part of the group that it concerns.
+
+Owns no state. Relies on the parts named in `GroupParts`, which `home_group.py` makes and binds.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from orchidwind.elected.core import steps
+from orchidwind.elected.core.commit_barrier import CONFIRM_SECONDS, CommitBarrier, PendingCommit
+from orchidwind.elected.core.flow_driver import Done
+from orchidwind.elected.core.instance_status import InstanceStatus
+from orchidwind.elected.core.open_transactions import OpenTransactions
+from orchidwind.elected.core.request_errors import commit_superseded, home_moved
+from orchidwind.elected.core.retry_budget import RetryBudget
+from orchidwind.elected.core.running_requests import RunningRequest
+from orchidwind.elected.core.server_connections import ServerConnections
+from orchidwind.elected.core.steps import Step
+from orchidwind.elected.core.view_waits import ViewWaits
+
+# What a request waits for before anything of it was sent to an instance.
+FIRST_WAITS = (steps.WaitForPrimary, steps.WaitForRoute, steps.WaitForConnection)
+
+
+@dataclass(frozen=True, slots=True)
+class GroupParts:
+    """What steps ask, or change."""
+
+    barrier: CommitBarrier
+    connections: ServerConnections
+    transactions: OpenTransactions
+    status: InstanceStatus
+    waits: ViewWaits
+    retries: RetryBudget
+
+
+class RequestSteps:
+    """Begins each step; what is not done at once is finished by a later event."""
+
+    def __init__(self, parts: GroupParts) -> None:
+        self._parts = parts
+
+    def perform(self, now: float, running: RunningRequest, step: Step) -> Done | None:
+        """Carry a step out, or begin it and return None; raises RequestError."""
+        if isinstance(step, FIRST_WAITS) and not self._parts.connections.has_share:
+            raise home_moved()
+        if isinstance(step, steps.WaitForConnection):
+            return self._connect(now, running, step)
+        if isinstance(step, steps.Run):
+            self._parts.connections.run(running.request.number, step)
+            return None
+        if isinstance(step, steps.WaitForConfirmation):
+            self._confirm(now, running, step)
+            return None
+        at_once = self._perform_at_once(now, running, step)
+        return at_once or self._wait_for_view(now, step)
+
+    def forget_wait(self, running: RunningRequest) -> None:
+        """A request waits no longer for what `running.waits_for` says."""
+        number = running.request.number
+        if isinstance(running.waits_for, steps.WaitForConnection):
+            self._parts.connections.stop_waiting(number, running.waits_for.instance)
+        self._parts.barrier.drop(number)
+
+    def _perform_at_once(self, now: float, running: RunningRequest, step: Step) -> Done | None:
+        """The steps that wait for nothing; None for all others."""
+        parts = self._parts
+        channel = running.request.channel
+        match step:
+            case steps.Release():
+                parts.connections.release(now, step.connection, step.reusable)
+            case steps.ApplySettings():
+                return Done(parts.connections.apply_settings(step.connection, step.settings))
+            case steps.Suspect():
+                parts.status.suspect(now, step.instance)
+                parts.status.poller.want(now, now, [step.instance])
+            case steps.TakeRetry():
+                return Done(parts.retries.take())
+            case steps.BindTransaction():
+                parts.transactions.bind(now, channel, step)
+            case steps.EndTransaction():
+                parts.transactions.end(channel)
+            case _:
+                return None
+        return Done()
+
+    def _connect(
+        self, now: float, running: RunningRequest, step: steps.WaitForConnection
+    ) -> Done | None:
+        running.waits_for = step
+        connection = self._parts.connections.acquire(now, running.request, step.instance)
+        return None if connection is None else Done(connection)
+
+    def _confirm(
+        self, now: float, running: RunningRequest, step: steps.WaitForConfirmation
+    ) -> None:
+        running.expires_at = max(running.expires_at, now + CONFIRM_SECONDS)
+        commit = PendingCommit(running.request.number, step.instance, step.term, now)
+        if self._parts.barrier.add(commit):
+            raise commit_superseded()
+        self._parts.status.poller.want(now, now)
+
+    def _wait_for_view(self, now: float, step: Step) -> Done | None:
+        result = self._parts.waits.result(now, step, since=now)
+        if result is not None:
+            return Done(result)
+        if isinstance(step, steps.WaitForFloor):
+            self._parts.status.poller.want(now, now)
+        return None
--- a/src/orchidwind/elected/daemon.py
+++ b/src/orchidwind/elected/daemon.py
@@ -199,7 +199,7 @@
     primary = group.view.primary()
     instances = []
     for name, report in group.view.reports.items():
-        pool = group.pools[name]
+        pool = group.connections.pools[name]
         instances.append(
             InstanceStatus(
                 name=name,
--- a/src/orchidwind/elected/network/front.py
+++ b/src/orchidwind/elected/network/front.py
@@ -14,8 +14,8 @@
     LocalAnswer,
     Plan,
 )
-from orchidwind.elected.core.home_group import STILL_RUNNING_SECONDS
 from orchidwind.elected.core.link_loss import after_link_loss
+from orchidwind.elected.core.request_deadlines import STILL_RUNNING_SECONDS
 from orchidwind.elected.core.statements import (
     ChannelKey,
     Column,
--- a/src/orchidwind/elected/network/group_runner.py
+++ b/src/orchidwind/elected/network/group_runner.py
@@ -132,13 +132,13 @@
 
     def _apply_share(self) -> None:
         now = self._loop.time()
-        shares = dict.fromkeys(self.group.pools, self.leases.share(now))
+        shares = dict.fromkeys(self.group.connections.pools, self.leases.share(now))
         self._perform(self.group.set_shares(now, shares))
 
     def lend(self, borrower: str, wanted: int) -> LeaseAnswer:
         """Another home asks for connections; they are given up here before the answer leaves."""
         now = self._loop.time()
-        answer = self.leases.on_ask(now, borrower, wanted, self.group.spare)
+        answer = self.leases.on_ask(now, borrower, wanted, self.group.connections.spare)
         self._apply_share()
         self._set_lease_timer(self.leases.deadline())
         return answer
@@ -166,7 +166,7 @@
     def _on_lease_timer(self) -> None:
         self._lease_timer = None
         now = self._loop.time()
-        if self.group.queued > 0 and self.leases.base_share > 0:
+        if self.group.connections.queued > 0 and self.leases.base_share > 0:
             lenders = self._lease_port.other_homes(self.database)
             for ask in self.leases.asks(now, lenders, _WANTED_SLOTS):
                 self._lease_port.ask(ask.lender, self.database.name, ask.wanted)
@@ -177,9 +177,9 @@
     def reconfigure(self, database: DatabaseSettings) -> None:
         """Take what may change while the group runs: its options, and which instances leave."""
         self.database = database
-        self.group.options = group_options(database)
         leaving = {instance.name for instance in database.instances if instance.leaving}
-        self._perform(self.group.set_leaving(self._loop.time(), leaving))
+        now = self._loop.time()
+        self._perform(self.group.reconfigure(now, group_options(database), leaving))
 
     def close(self) -> None:
         """Close every connection."""
@@ -199,7 +199,7 @@
         for effect in effects:
             self._perform_one(effect)
         self._set_timer()
-        if self._lease_timer is None and self.group.queued > 0:
+        if self._lease_timer is None and self.group.connections.queued > 0:
             self._look_for_leases()
 
     def _perform_one(self, effect: GroupEffect) -> None:
@@ -330,7 +330,7 @@
     async def _look_at_backend(self, number: int) -> None:
         """Give a connection up whose statement the database does not run, or no more."""
         connection = self._connections.get(number)
-        instance = self.group.instance_of(number)
+        instance = self.group.connections.instance_of(number)
         if connection is None or instance is None or instance in self._asked_for_backends:
             return
         self._asked_for_backends.add(instance)
@@ -363,7 +363,7 @@
             )
         )
         self._lost(number, BackendConnectionLost("the connection is silent", sent=True))
-        for idle in list(self.group.pools[instance].idle):
+        for idle in list(self.group.connections.pools[instance].idle):
             self._idle_lost(idle)
 
     async def _poll(self, effect: PollInstance) -> None:
