--- a/src/orchidwind/elected/core/flow_parts.py
+++ b/src/orchidwind/elected/core/flow_parts.py
@@ -1,10 +1,14 @@
-"""What the flows of all kinds of request have in common."""
+"""Parts of flows that several kinds of request use: connections, statements, retries.
+
+Relies on `retries.py` for what may be tried again.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Generator
 
 from orchidwind.elected.core.group_view import PrimaryReference
+from orchidwind.elected.core.retries import Retry, StatementLost
 from orchidwind.elected.core.statements import RunResult, Statement, StatementRequest
 from orchidwind.elected.core.steps import (
     ApplySettings,
@@ -12,26 +16,16 @@
     Run,
     Step,
     StepResult,
+    TakeRetry,
     WaitForConnection,
     WaitForPrimary,
 )
 from orchidwind.shared.core.errors import BackendConnectionLost, ErrorKind, RequestError
 
+# SQLSTATE read_only_sql_transaction: a write reached a replica, which refused it.
 READ_ONLY_TRANSACTION = "25006"
 
 
-class Lost(Exception):
-    """A connection broke or the request was given up while a statement ran."""
-
-    def __init__(
-        self, sent: bool, reason: RequestError | None = None, delivered: bool = False
-    ) -> None:
-        super().__init__()
-        self.sent = sent
-        self.reason = reason
-        self.delivered = delivered
-
-
 def run(
     connection: int, statement: Statement, **options: bool
 ) -> Generator[Step, StepResult, RunResult]:
@@ -39,10 +33,10 @@
     try:
         result = yield Run(connection, statement, **options)
     except BackendConnectionLost as lost:
-        raise Lost(lost.sent, delivered=lost.delivered) from lost
+        raise StatementLost(lost.sent, delivered=lost.delivered) from lost
     except RequestError as error:
         yield Release(connection, reusable=False)
-        raise Lost(True, error) from error
+        raise StatementLost(True, error) from error
     assert isinstance(result, RunResult)
     return result
 
@@ -54,7 +48,7 @@
     try:
         connection = yield WaitForConnection(instance, primary_term)
     except BackendConnectionLost as lost:
-        raise Lost(sent=False) from lost
+        raise StatementLost(sent=False) from lost
     assert isinstance(connection, int)
     statement = yield ApplySettings(connection, request.settings)
     if isinstance(statement, Statement):
@@ -74,7 +68,7 @@
         assert isinstance(primary, PrimaryReference)
         try:
             connection = yield from connect(request, primary.instance, primary.term)
-        except Lost as lost:
+        except StatementLost as lost:
             if lost.reason is not None:
                 raise lost.reason from lost
             continue
@@ -85,3 +79,10 @@
     """The instance is no longer the primary; it refused the statement, so nothing ran."""
     refused = result.error is not None and result.error.sqlstate == READ_ONLY_TRANSACTION
     return refused and not result.delivered
+
+
+def may_retry(retry: Retry) -> Generator[Step, StepResult, bool]:
+    """Whether a retry is allowed, also by the home's budget, which it then uses."""
+    if retry is Retry.WITHIN_BUDGET:
+        return bool((yield TakeRetry()))
+    return retry is Retry.ALWAYS
--- a/src/orchidwind/elected/core/flows.py
+++ b/src/orchidwind/elected/core/flows.py
@@ -14,9 +14,9 @@
 from collections.abc import Generator
 
 from orchidwind.elected.core.flow_parts import (
-    Lost,
     connect,
     connect_primary,
+    may_retry,
     refused_by_replica,
     run,
 )
@@ -29,6 +29,7 @@
     write_lost,
     write_not_confirmed,
 )
+from orchidwind.elected.core.retries import StatementLost, retry_read, retry_write
 from orchidwind.elected.core.routing import Route
 from orchidwind.elected.core.statements import (
     TRANSACTION_IDLE,
@@ -47,7 +48,6 @@
     Step,
     StepResult,
     Suspect,
-    TakeRetry,
     WaitForConfirmation,
     WaitForFloor,
     WaitForReplay,
@@ -56,8 +56,6 @@
 from orchidwind.shared.core.errors import ErrorKind, RequestError
 from orchidwind.shared.core.positions import ORIGIN, Position
 
-_READ_ATTEMPTS = 3
-
 
 def _route(request: StatementRequest) -> Generator[Step, StepResult, Route]:
     """Find where a read may run: first the floor, then an instance that covers it."""
@@ -90,24 +88,18 @@
 def read_flow(request: StatementRequest) -> Flow:
     """A read outside a transaction."""
     describe = request.kind is RequestKind.DESCRIBE
-    attempt = 0
+    attempts = 0
     while True:
-        attempt += 1
         route = yield from _route(request)
         try:
             connection = yield from connect(request, route.instance)
             result = yield from run(
                 connection, request.statement, deliver=not describe, describe=describe
             )
-        except Lost as lost:
-            if lost.reason is not None:
-                raise lost.reason from lost
-            if not lost.sent:
-                attempt -= 1
-                continue
-            exhausted = lost.delivered or attempt >= _READ_ATTEMPTS
-            if exhausted or not (yield TakeRetry()):
-                raise read_interrupted() from lost
+        except StatementLost as lost:
+            attempts += int(lost.sent)
+            if not (yield from may_retry(retry_read(lost, attempts))):
+                raise (lost.reason or read_interrupted()) from lost
             continue
         yield Release(connection, reusable=result.transaction_status == TRANSACTION_IDLE)
         if result.error is not None:
@@ -135,10 +127,10 @@
         primary, connection = yield from connect_primary(request)
         try:
             result = yield from run(connection, request.statement, deliver=True)
-        except Lost as lost:
-            if not lost.sent:
-                continue
-            raise write_lost() from lost
+        except StatementLost as lost:
+            if not (yield from may_retry(retry_write(lost))):
+                raise write_lost() from lost
+            continue
         if refused_by_replica(result) and result.transaction_status == TRANSACTION_IDLE:
             yield Release(connection, reusable=True)
             yield Suspect(primary.instance)
@@ -184,7 +176,7 @@
         result = yield from run(connection, request.statement, deliver=True)
         if request.request_id and not read_only and result.error is None:
             yield from _claim_in_transaction(request, connection)
-    except Lost as lost:
+    except StatementLost as lost:
         raise (lost.reason or transaction_lost()) from lost
     if result.error is not None or result.transaction_status == TRANSACTION_IDLE:
         yield Release(connection, reusable=False)
@@ -221,7 +213,7 @@
         result = yield from run(
             transaction.connection, request.statement, deliver=not describe, describe=describe
         )
-    except Lost as lost:
+    except StatementLost as lost:
         yield EndTransaction()
         if ends and transaction.wrote:
             raise write_lost() from lost
--- a/src/orchidwind/elected/core/home_group.py
+++ b/src/orchidwind/elected/core/home_group.py
@@ -22,7 +22,6 @@
 from orchidwind.elected.core.group_effects import CancelConnection, GroupEffect, GroupOptions
 from orchidwind.elected.core.group_view import GroupView, InstanceReport
 from orchidwind.elected.core.instance_status import InstanceStatus
-from orchidwind.elected.core.link_loss import may_commit
 from orchidwind.elected.core.open_transactions import OpenTransactions
 from orchidwind.elected.core.request_deadlines import RequestDeadlines
 from orchidwind.elected.core.request_errors import (
@@ -33,9 +32,10 @@
     transaction_gone,
 )
 from orchidwind.elected.core.request_steps import FIRST_WAITS, GroupParts, RequestSteps
-from orchidwind.elected.core.retry_budget import RetryBudget
+from orchidwind.elected.core.retries import RetryBudget
 from orchidwind.elected.core.running_requests import RunningRequest, RunningRequests
 from orchidwind.elected.core.server_connections import ServerConnections
+from orchidwind.elected.core.sql_text import may_commit
 from orchidwind.elected.core.statements import (
     ChannelKey,
     RequestKind,
--- a/src/orchidwind/elected/core/named_write.py
+++ b/src/orchidwind/elected/core/named_write.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass
 
 from orchidwind.elected.core.flow_parts import (
-    Lost,
     connect_primary,
+    may_retry,
     refused_by_replica,
     run,
 )
@@ -20,6 +20,11 @@
     lookup_statement,
 )
 from orchidwind.elected.core.request_errors import transaction_lost, write_lost
+from orchidwind.elected.core.retries import (
+    StatementLost,
+    retry_named_commit,
+    retry_named_write,
+)
 from orchidwind.elected.core.statements import (
     TRANSACTION_IDLE,
     Outcome,
@@ -32,7 +37,6 @@
     Step,
     StepResult,
     Suspect,
-    TakeRetry,
     WaitForConfirmation,
 )
 from orchidwind.shared.core.errors import ErrorKind, RequestError
@@ -55,21 +59,20 @@
             primary, connection = yield from connect_primary(request)
             tag = yield from _named_attempt(request, primary, connection, attempt)
             position = yield WaitForConfirmation(primary.instance, primary.term)
-        except Lost as lost:
+        except StatementLost as lost:
             in_doubt = in_doubt or attempt.committing
             error = lost.reason or transaction_lost()
-            ends = lost.reason is not None or lost.delivered or not (yield TakeRetry())
+            retry = retry_named_write(lost)
         except RequestError as failed:
             if failed.kind is ErrorKind.STATEMENT_FAILED:
                 raise
-            superseded = attempt.committing and failed.kind is ErrorKind.OUTCOME_UNKNOWN
             in_doubt = in_doubt or attempt.committing
             error = failed
-            ends = not superseded or attempt.delivered or not (yield TakeRetry())
+            retry = retry_named_commit(failed, attempt.committing, attempt.delivered)
         else:
             assert isinstance(position, Position)
             return Outcome(request.number, tag=tag, instance=primary.instance, position=position)
-        if ends:
+        if not (yield from may_retry(retry)):
             raise write_lost() if in_doubt else error
 
 
@@ -99,7 +102,7 @@
     if refused_by_replica(claim):
         yield Release(connection, reusable=False)
         yield Suspect(primary.instance)
-        raise Lost(sent=False)
+        raise StatementLost(sent=False)
     yield from _stop_on_error(connection, claim)
     if claim.tag.endswith(" 0"):
         attempt.committing = True
--- a/src/orchidwind/elected/core/polling.py
+++ b/src/orchidwind/elected/core/polling.py
@@ -30,7 +30,6 @@
     asked_at: float | None = None
     last_asked_at: float = float("-inf")
     next_at: float = 0.0
-    wanted_since: float | None = None
 
 
 class StatusPoller:
--- a/src/orchidwind/elected/core/request_steps.py
+++ b/src/orchidwind/elected/core/request_steps.py
@@ -13,7 +13,7 @@
 from orchidwind.elected.core.instance_status import InstanceStatus
 from orchidwind.elected.core.open_transactions import OpenTransactions
 from orchidwind.elected.core.request_errors import commit_superseded, home_moved
-from orchidwind.elected.core.retry_budget import RetryBudget
+from orchidwind.elected.core.retries import RetryBudget
 from orchidwind.elected.core.running_requests import RunningRequest
 from orchidwind.elected.core.server_connections import ServerConnections
 from orchidwind.elected.core.steps import Step
--- a/src/orchidwind/elected/core/sql_text.py
+++ b/src/orchidwind/elected/core/sql_text.py
@@ -8,6 +8,7 @@
 from sqlglot.errors import TokenError
 from sqlglot.tokens import Token, TokenType
 
+_COMMIT_WORDS = ("COMMIT", "END")
 _QUOTED_OR_PARAMETER = re.compile(r"'(?:[^']|'')*'|\"[^\"]*\"|\$\d+(?=[^\d\s])")
 
 
@@ -40,8 +41,7 @@
     return [statement for statement in statements if statement]
 
 
-def split_statements(sql: str) -> list[str]:
-    """Cut a text at its semicolons; raises ValueError where it can't be tokenized."""
-    spaced = space_parameters(sql)
-    statements = tokenize_statements(spaced)
-    return [spaced[statement[0].start : statement[-1].end + 1] for statement in statements]
+def may_commit(sql: str) -> bool:
+    """Whether a statement inside a transaction may commit it."""
+    text = sql.lstrip().upper()
+    return text.startswith(_COMMIT_WORDS) or ";" in text.rstrip("; \n")
--- a/src/orchidwind/elected/network/front.py
+++ b/src/orchidwind/elected/network/front.py
@@ -14,8 +14,8 @@
     LocalAnswer,
     Plan,
 )
-from orchidwind.elected.core.link_loss import after_link_loss
 from orchidwind.elected.core.request_deadlines import STILL_RUNNING_SECONDS
+from orchidwind.elected.core.retries import HOME_RETRY_SECONDS, after_link_loss, retry_home
 from orchidwind.elected.core.statements import (
     ChannelKey,
     Column,
@@ -41,7 +41,6 @@
 from orchidwind.shared.core.errors import ErrorKind, PeerUnavailable, RequestError
 
 _TEXT_OID = 25
-_RETRY_SECONDS = 0.05
 _GRACE_SECONDS = 0.25
 _CONFIRM_GRACE_SECONDS = 2.5
 _LOCAL_ORIGIN = "local"
@@ -305,10 +304,10 @@
                 else:
                     if not _moved(outcome):
                         return outcome
-            if self._loop.time() + _RETRY_SECONDS >= request.expires_at:
+            if not retry_home(self._loop.time(), request.expires_at):
                 error = RequestError(ErrorKind.NO_HOME, "no proxy serves this database now")
                 return Outcome(request.number, error=error)
-            await asyncio.sleep(_RETRY_SECONDS)
+            await asyncio.sleep(HOME_RETRY_SECONDS)
 
     def _home_for(self, request: StatementRequest) -> Home | None:
         """A transaction stays with the home that holds its connection."""
--- a/src/orchidwind_bench/elected/simulation/system.py
+++ b/src/orchidwind_bench/elected/simulation/system.py
@@ -12,7 +12,7 @@
 
 from orchidwind.elected.core.group_effects import GroupOptions
 from orchidwind.elected.core.home_group import HomeGroup
-from orchidwind.elected.core.link_loss import after_link_loss
+from orchidwind.elected.core.retries import after_link_loss
 from orchidwind.elected.core.statements import Outcome, StatementRequest
 from orchidwind.shared.core.admission import TrafficClass
 from orchidwind.shared.core.errors import ErrorKind, RequestError
--- a/src/orchidwind_standins/elected/sql_session.py
+++ b/src/orchidwind_standins/elected/sql_session.py
@@ -11,7 +11,7 @@
 
 from pg_mimic.types import TEXT
 
-from orchidwind.elected.core.sql_text import split_statements
+from orchidwind.elected.core.sql_text import space_parameters, tokenize_statements
 from orchidwind.elected.postgres import wire
 from orchidwind.elected.postgres.executor import (
     Description,
@@ -117,7 +117,7 @@
 
     async def _execute(self, statement: Statement, sink: ResultSink) -> None:
         try:
-            texts = split_statements(statement.sql)
+            texts = _split_statements(statement.sql)
         except ValueError as error:
             raise self._failed(sql_error("42601", str(error))) from error
         if not texts:
@@ -529,3 +529,10 @@
         return value
     text = str(value)
     return bytes.fromhex(text[2:]) if text.startswith("\\x") else text.encode()
+
+
+def _split_statements(sql: str) -> list[str]:
+    """Cut a text at its semicolons; raises ValueError where it can't be tokenized."""
+    spaced = space_parameters(sql)
+    statements = tokenize_statements(spaced)
+    return [spaced[statement[0].start : statement[-1].end + 1] for statement in statements]
