--- a/src/orchidwind/elected/network/cluster.py
+++ b/src/orchidwind/elected/network/cluster.py
@@ -20,7 +20,8 @@
     FetchTurn,
     HistoryEffect,
 )
-from orchidwind.elected.core.membership import Member, Membership, MemberState
+from orchidwind.elected.core.member_table import Member, MemberState
+from orchidwind.elected.core.membership import Membership
 from orchidwind.elected.core.placement import Node, Placement
 from orchidwind.elected.core.slot_leases import LeaseAnswer
 from orchidwind.elected.network import codec
@@ -211,9 +212,7 @@
         self._classes = ClassMatcher(document.content.classes)
         self._change_roles()
         membership = self.members.membership
-        self.members.perform(
-            membership.set_configuration_version(self._loop.time(), document.version)
-        )
+        self.members.perform(membership.set_configuration_version(document.version))
 
     # --- view ---------------------------------------------------------------------------------
 
@@ -240,7 +239,7 @@
 
     def leave(self) -> None:
         """Announce a planned stop."""
-        self.members.perform(self.members.membership.leave(self._loop.time()))
+        self.members.perform(self.members.membership.leave())
 
     def close(self) -> None:
         """Cut links and close the socket."""
--- a/src/orchidwind/elected/network/codec.py
+++ b/src/orchidwind/elected/network/codec.py
@@ -10,11 +10,10 @@
 
 import msgspec
 
-from orchidwind.elected.core.membership import (
+from orchidwind.elected.core.member_table import Member, MemberState
+from orchidwind.elected.core.membership_messages import (
     Exchange,
-    Member,
     MembershipMessage,
-    MemberState,
     Probe,
     ProbeAnswer,
     ProbeRequest,
--- a/src/orchidwind/elected/network/datagrams.py
+++ b/src/orchidwind/elected/network/datagrams.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable, Iterable
 from typing import cast
 
-from orchidwind.elected.core.membership import (
-    Membership,
+from orchidwind.elected.core.membership import Membership
+from orchidwind.elected.core.membership_messages import (
     MembershipEffect,
     PeerVersion,
     SendDatagram,
--- a/src/orchidwind/elected/network/object_api_watch.py
+++ b/src/orchidwind/elected/network/object_api_watch.py
@@ -103,4 +103,4 @@
             return
         membership = self._cluster.members.membership
         seeds = [(item.host, item.gossip_port) for item in machines if item.state == "live"]
-        self._cluster.members.perform(membership.add_seeds(self._loop.time(), seeds))
+        self._cluster.members.perform(membership.add_seeds(seeds))
