--- a/src/orchidwind/promoted/core/failover.py
+++ b/src/orchidwind/promoted/core/failover.py
@@ -38,7 +38,6 @@
 from orchidwind.promoted.core.commands import InstanceRole, InstanceStatus
 from orchidwind.promoted.core.failover_choice import (
     choose_candidate,
-    holds,
     leader_of,
     needed_fences,
     newest_led_term,
@@ -70,6 +69,7 @@
     UnfenceAll,
     Wait,
 )
+from orchidwind.promoted.core.log_positions import holds
 
 RETRY_SECONDS = 0.05
 LEAD_WAIT_SECONDS = 0.02
--- a/src/orchidwind/promoted/core/failover_choice.py
+++ b/src/orchidwind/promoted/core/failover_choice.py
@@ -4,15 +4,7 @@
 
 from orchidwind.promoted.core.commands import InstanceRole, InstanceStatus
 from orchidwind.promoted.core.failover_steps import ChoiceReport, FailoverPlan, Statuses
-from orchidwind.shared.core.positions import Position
-
-
-def holds(log_end: Position, wanted: Position) -> bool:
-    """Whether a log that ends there has everything up to a position.
-
-    By term and by number: one that follows a newer term may still lack what came before it.
-    """
-    return log_end.term >= wanted.term and log_end.lsn >= wanted.lsn
+from orchidwind.promoted.core.log_positions import holds
 
 
 def newest_answering_primary(statuses: Statuses) -> InstanceStatus | None:
--- a/src/orchidwind/promoted/core/topology.py
+++ b/src/orchidwind/promoted/core/topology.py
@@ -181,7 +181,7 @@
             self.last_promotion = record
             self._promotion_read_at = now
 
-    def superseded(self, instance: str, term: int) -> bool:
+    def successor_may_lead(self, instance: str, term: int) -> bool:
         """Whether another instance was promoted since a term, and may lead out of sight.
 
         Guards against a proxy on the side of an old primary: what it reaches knows of no later
@@ -489,11 +489,3 @@
     def _busy_lately(self, instance: str, now: float) -> bool:
         """Whether an instance has just refused work: reads that can wait are not sent there."""
         return now - self.instances[instance].busy_at < _BUSY_LATELY_SECONDS
-
-
-def knows_no_later_term(status: InstanceStatus, term: int) -> bool:
-    """Whether an instance's status proves that no primary after `term` has begun.
-
-    The proof holds for a replica only: a replaced primary does not know that it was replaced.
-    """
-    return status.role is InstanceRole.REPLICA and status.newest_term <= term
--- a/src/orchidwind/promoted/group/lead_prover.py
+++ b/src/orchidwind/promoted/group/lead_prover.py
@@ -1,4 +1,11 @@
-"""Proofs that the known primary of a group still leads: by lead lease, or by asking a replica."""
+"""Proofs that the known primary of a group still leads: by lead lease, or by asking a replica.
+
+What for: `core/lead_proof.py` has the rule; this gathers its inputs for one group and sends the
+status queries.
+
+Owns: the status query that is under way, and the lead that was proven last. Relies on: the proxy's
+lease keeper, the group's topology, a status call that returns None in bounded time.
+"""
 
 from __future__ import annotations
 
@@ -6,7 +13,13 @@
 from collections.abc import Awaitable, Callable
 
 from orchidwind.promoted.core.commands import InstanceStatus
-from orchidwind.promoted.core.topology import GroupTopology, knows_no_later_term
+from orchidwind.promoted.core.lead_proof import (
+    LeaseEvidence,
+    ProvenLead,
+    lease_proves_lead,
+    shows_no_later_term,
+)
+from orchidwind.promoted.core.topology import GroupTopology
 from orchidwind.promoted.group.lease_keeper import LeaseKeeper
 from orchidwind.promoted.group.shared_query import SharedQuery
 
@@ -23,20 +36,22 @@
         self._ask = ask
         self._loop = asyncio.get_running_loop()
         self._query: SharedQuery[InstanceStatus | None] = SharedQuery(self._query_replica)
-        self._known_leader: tuple[str, int] | None = None
+        self._proven: ProvenLead | None = None
 
     def leased(self, instance: str, arrived_at: float) -> bool:
-        """Whether the lead lease spares the proof for a request that came at a time.
-
-        It does where the lead was proven once since the promotion lock was last given back.
-        """
+        """Whether the lead lease spares the proof for a request that came at a time."""
         self._leases.want()
-        covered = self._leases.covers(arrived_at)
-        known = self._known_leader == (instance, self._leases.free_revision)
-        return covered and known and not self._superseded(instance)
-
-    def _superseded(self, instance: str) -> bool:
-        return self._topology.superseded(instance, self._topology.primary_term(instance))
+        term = self._topology.primary_term(instance)
+        return lease_proves_lead(instance, self.evidence(instance, term, arrived_at))
+
+    def evidence(self, instance: str, term: int, at: float) -> LeaseEvidence:
+        """What the lead lease says, for a time, of an instance that led in a term."""
+        return LeaseEvidence(
+            self._leases.covers(at),
+            self._leases.free_revision,
+            self._proven,
+            self._topology.successor_may_lead(instance, term),
+        )
 
     def covered_now(self) -> bool:
         """Whether nobody can change a primary at this moment, whoever leads."""
@@ -50,10 +65,10 @@
     def proven_under(self, instance: str, lock_revision: int | None) -> None:
         """An instance was proven to lead by a query sent while the lock stood at a revision."""
         if lock_revision is not None:
-            self._known_leader = (instance, lock_revision)
+            self._proven = ProvenLead(instance, lock_revision)
 
     def want_lease(self) -> None:
-        """A commit is under way: have the lease there when its answer comes."""
+        """A commit is under way: have the lease there when its answer comes, or renewed."""
         self._leases.want()
 
     def join(self) -> StatusTask:
@@ -72,10 +87,12 @@
     async def proves(self, query: StatusTask, term: int) -> bool:
         """Whether a query shows that no primary after `term` had begun when it was sent."""
         status = await asyncio.shield(query)
-        if status is None or not knows_no_later_term(status, term):
+        if status is None or not shows_no_later_term(status, term):
             return False
         primary = self._topology.primary(self._loop.time())
-        return primary is not None and not self._superseded(primary.instance)
+        if primary is None:
+            return False
+        return not self._topology.successor_may_lead(primary.instance, primary.term)
 
     def close(self) -> None:
         """Give up what is under way."""
