--- a/src/orchidwind/promoted/core/flow_parts.py
+++ b/src/orchidwind/promoted/core/flow_parts.py
@@ -16,6 +16,7 @@
 )
 from orchidwind.promoted.core.configuration import DatabaseRoute
 from orchidwind.promoted.core.group_state import GroupState
+from orchidwind.promoted.core.read_planning import ReadPlan
 from orchidwind.promoted.core.session import Session
 from orchidwind.promoted.core.steps import (
     Exchange,
@@ -29,7 +30,7 @@
     WaitForProof,
     WaitForReadPlan,
 )
-from orchidwind.promoted.core.topology import PrimaryView, ReadPlan
+from orchidwind.promoted.core.topology import PrimaryView
 from orchidwind.shared.core.errors import (
     BackendConnectionLost,
     ProofMissing,
--- a/src/orchidwind/promoted/core/group_state.py
+++ b/src/orchidwind/promoted/core/group_state.py
@@ -106,8 +106,8 @@
 
     def commit_acknowledged(self, sent_at: float, position: Position | None) -> None:
         """The primary acknowledged a commit: a replica still followed it, so the lead is proven."""
-        self.topology.prove(sent_at, position)
+        self.topology.floors.prove(sent_at, position)
 
     def lead_proven(self, led_at: float, position: Position | None) -> None:
         """The primary told its position after a time at which no later term had begun."""
-        self.topology.prove(led_at, position)
+        self.topology.floors.prove(led_at, position)
--- a/src/orchidwind/promoted/core/steps.py
+++ b/src/orchidwind/promoted/core/steps.py
@@ -6,7 +6,8 @@
 from dataclasses import dataclass
 
 from orchidwind.promoted.core.commands import CommandResult, InstanceMessage, Reply
-from orchidwind.promoted.core.topology import PrimaryView, ReadPlan
+from orchidwind.promoted.core.read_planning import ReadPlan
+from orchidwind.promoted.core.topology import PrimaryView
 from orchidwind.shared.core.positions import Position
 
 
--- a/src/orchidwind/promoted/core/supervision.py
+++ b/src/orchidwind/promoted/core/supervision.py
@@ -16,8 +16,9 @@
 NO_PRIMARY_SECONDS = 0.1
 NOT_CONFIRMING_SECONDS = 0.6
 GONE_SECONDS = 1.0
-# Entries that lapsed with the directory are back about 2 s after it; the rest is for late ones.
-LAPSED_SECONDS = 2.3
+# Entries that were missing after an outage of the directory are back about 2 s after it; the rest
+# is for late ones.
+UNSEEN_REMOVAL_SECONDS = 2.3
 JITTER_SECONDS = 0.06
 # A change of primary ends, or its holder's time does, before replicas count as left fenced.
 LEFT_FENCED_SECONDS = 1.0
@@ -77,7 +78,11 @@
         elif now >= self._paused_until:
             plan = self._plan_when_due(now, reason, random_fraction, members_known)
         restless = bool(suspects) or reason is not None or self._no_primary_since is not None
-        again = BUSY_LOOK_SECONDS if restless or self._topology.unclear() else IDLE_LOOK_SECONDS
+        again = (
+            BUSY_LOOK_SECONDS
+            if restless or self._topology.of_uncertain_role()
+            else IDLE_LOOK_SECONDS
+        )
         return Look(tuple(ask), plan, again)
 
     def ended(self, now: float, outcome: FailoverOutcome) -> None:
@@ -90,7 +95,7 @@
 
     def _to_ask(self, now: float, suspects: list[str]) -> list[str]:
         views = self._topology.instances
-        wanted = set(self._topology.unclear()) | set(suspects)
+        wanted = set(self._topology.of_uncertain_role()) | set(suspects)
         wanted |= {name for name, view in views.items() if view.unreachable_since is not None}
         wanted |= set(self._topology.fenced_above(self._topology.newest_led_term))
         due = []
@@ -162,7 +167,7 @@
             return False
         if view.entry.draining:
             return True
-        patience = LAPSED_SECONDS if view.lapsed else GONE_SECONDS
+        patience = UNSEEN_REMOVAL_SECONDS if view.removal_unseen else GONE_SECONDS
         return not view.listed and now - view.gone_at > patience
 
     def _some_replica_answers(self, leader: str) -> bool:
@@ -185,11 +190,11 @@
     def plan(self, now: float, reason: FailoverReason, members_known: bool) -> FailoverPlan:
         """A change of primary, by what is known now."""
         views = self._topology.instances
-        heirs = self._topology.heirs()
+        replacements = self._topology.confirming.replacements()
         leader = self._known_leader()
         last_promotion = self._topology.last_promotion
         if last_promotion is not None:
-            promoted = heirs.get(last_promotion.instance, last_promotion.instance)
+            promoted = replacements.get(last_promotion.instance, last_promotion.instance)
             last_promotion = replace(last_promotion, instance=promoted)
         leaving = frozenset(
             name for name, view in views.items() if view.entry.draining or not view.listed
@@ -197,13 +202,13 @@
         return FailoverPlan(
             group=self._topology.settings.name,
             reason=reason,
-            members=tuple(sorted(self._topology.may_confirm())),
+            members=tuple(sorted(self._topology.confirming.names())),
             leaving=leaving,
-            old_primary=heirs.get(leader, leader),
+            old_primary=replacements.get(leader, leader),
             synchronous_replicas=self._topology.settings.synchronous_replicas,
             members_known=members_known,
             led_term=self._topology.newest_led_term,
-            absent=tuple(sorted(self._topology.absent(now))),
+            absent=tuple(sorted(self._topology.confirming.absent(now))),
             unlisted=frozenset(name for name, view in views.items() if not view.listed),
             last_promotion=last_promotion,
         )
--- a/src/orchidwind/promoted/core/transaction_flows.py
+++ b/src/orchidwind/promoted/core/transaction_flows.py
@@ -29,6 +29,7 @@
     read_connection,
     statement_messages,
 )
+from orchidwind.promoted.core.read_planning import ReadPlan
 from orchidwind.promoted.core.session import OpenTransaction
 from orchidwind.promoted.core.steps import (
     Exchange,
@@ -38,7 +39,6 @@
     Step,
     StepResult,
 )
-from orchidwind.promoted.core.topology import ReadPlan
 from orchidwind.shared.core.errors import (
     BackendConnectionLost,
     RequestError,
--- a/src/orchidwind/promoted/group/group_service.py
+++ b/src/orchidwind/promoted/group/group_service.py
@@ -21,9 +21,10 @@
     PromotedGroupSettings,
 )
 from orchidwind.promoted.core.group_state import GroupState
+from orchidwind.promoted.core.read_planning import ReadPlan, ReadRequest, plan_read
 from orchidwind.promoted.core.steps import ExchangeResult
 from orchidwind.promoted.core.supervision import NOT_CONFIRMING_SECONDS
-from orchidwind.promoted.core.topology import PrimaryView, ReadPlan
+from orchidwind.promoted.core.topology import PrimaryView
 from orchidwind.promoted.group.commit_guard import CommitGuard
 from orchidwind.promoted.group.connections import GroupConnections
 from orchidwind.promoted.group.lead_prover import LeadProver, StatusTask
@@ -158,10 +159,12 @@
             )
         self.changed()
 
-    def entry_gone(self, instance: str, lapsed: bool = False) -> None:
-        """The directory no longer lists an instance; `lapsed`: nobody saw its entry go."""
-        self.topology.entry_gone(instance, self._loop.time(), lapsed)
-        log_event("instance_gone", group=self.settings.name, instance=instance, lapsed=lapsed)
+    def entry_gone(self, instance: str, removal_unseen: bool = False) -> None:
+        """The directory no longer lists an instance; `removal_unseen`: it may come back."""
+        self.topology.entry_gone(instance, self._loop.time(), removal_unseen)
+        log_event(
+            "instance_gone", group=self.settings.name, instance=instance, lapsed=removal_unseen
+        )
         self.changed()
 
     def trim(self) -> None:
@@ -174,13 +177,13 @@
 
     async def forget_old(self) -> None:
         """Drop what belongs to instances that left long ago, if others have their logs."""
-        if self.supervised and self.topology.to_forget(self._loop.time()):
+        if self.supervised and self.topology.confirming.some_due(self._loop.time()):
             # The primary first: what it has by then, the others must have afterwards.
             views = self.topology.instances.items()
             listed = [name for name, view in views if view.listed]
             for name in sorted(listed, key=lambda name: not self.topology.primary_term(name)):
                 await self.ask_status(name)
-        for instance in self.topology.forget_old(self._loop.time()):
+        for instance in self.topology.confirming.drop_old(self._loop.time(), self.settings):
             self._calls.drop(instance)
             self.connections.forget(instance)
 
@@ -311,9 +314,10 @@
     ) -> ReadPlan:
         """Wait for an instance that may serve a read; raises RequestError."""
 
+        request = ReadRequest(database, session_floor, arrived_at, excluded)
+
         def look() -> ReadPlan | None:
-            now = self._loop.time()
-            return self.topology.plan_read(database, session_floor, arrived_at, now, excluded)
+            return plan_read(self.topology, request, self._loop.time())
 
         plan = await self._wait_for(look, deadline, ErrorKind.NO_REPLICA)
         if plan.proof_of_term:
@@ -517,7 +521,7 @@
         for connection, since in self.connections.in_exchange.items():
             instance = self.connections.instance_of[connection]
             view = self.topology.instances.get(instance)
-            heard_at = view.heard_at if view is not None else since
+            heard_at = view.last_answer_at if view is not None else since
             if now - since >= SILENCE_SECONDS:
                 self._check_connections(instance, since)
             if now - max(heard_at, since) > SILENCE_SECONDS:
--- a/src/orchidwind/promoted/group/group_supervision.py
+++ b/src/orchidwind/promoted/group/group_supervision.py
@@ -123,7 +123,9 @@
             led_term=plan.led_term,
             known_by=" ".join(
                 f"{name}:{how}"
-                for name, how in sorted(self._group.topology.how_known(self._loop.time()).items())
+                for name, how in sorted(
+                    self._group.topology.confirming.sources(self._loop.time()).items()
+                )
             ),
         )
         runner = FailoverRunner(
--- a/src/orchidwind/promoted/group/roster_keeper.py
+++ b/src/orchidwind/promoted/group/roster_keeper.py
@@ -56,7 +56,7 @@
         roster = self._rosters.get(group)
         service = self._groups.get(group)
         if roster is not None and service is not None:
-            service.topology.roster_read(roster.members, self._loop.time())
+            service.topology.confirming.roster_read(roster.members, self._loop.time())
             service.topology.promotion_read(roster.last_promotion, self._loop.time())
 
     def promotion_called(self, token: int) -> bool:
@@ -103,7 +103,7 @@
     def _wanted(self, group: str) -> Roster | None:
         """The roster as it should be, None where it is so."""
         held = self._held(group)
-        members = self._groups[group].topology.roster(held.members)
+        members = self._groups[group].topology.confirming.roster(held.members)
         return None if members == held.members else replace(held, members=members)
 
     async def _write(self, wanted: Roster) -> None:
--- a/src/orchidwind/promoted/group/status_calls.py
+++ b/src/orchidwind/promoted/group/status_calls.py
@@ -76,7 +76,7 @@
         view = self._topology.instances.get(instance)
         unreachable = view is not None and view.unreachable_since is not None
         seconds = HURRIED_SECONDS if hurried and unreachable else ASK_SECONDS
-        if view is not None and view.heard_at == float("-inf"):
+        if view is not None and view.last_answer_at == float("-inf"):
             seconds = FIRST_SECONDS
         try:
             async with asyncio.timeout(seconds):
--- a/src/orchidwind/promoted/proxy_runtime.py
+++ b/src/orchidwind/promoted/proxy_runtime.py
@@ -283,7 +283,7 @@
         listed = {entry.instance: entry for entry in entries}
         differs = listed != self.directory or not self._directory_listed
         for name in [name for name in self.directory if name not in listed]:
-            self.instance_gone(name, lapsed=True)
+            self.instance_gone(name, removal_unseen=True)
         for entry in entries:
             self.instance_listed(entry)
         self._directory_listed = True
@@ -297,12 +297,12 @@
         if group is not None:
             group.entry_changed(entry)
 
-    def instance_gone(self, instance: str, lapsed: bool = False) -> None:
-        """An instance is no longer listed; `lapsed`: nobody saw its entry go."""
+    def instance_gone(self, instance: str, removal_unseen: bool = False) -> None:
+        """An instance is no longer listed; `removal_unseen`: it may come back."""
         entry = self.directory.pop(instance, None)
         group = self.groups.get(entry.group) if entry is not None else None
         if group is not None:
-            group.entry_gone(instance, lapsed)
+            group.entry_gone(instance, removal_unseen)
 
     def _note_prepared(self) -> None:
         if self.configuration is None or not self.homes.known:
--- a/src/orchidwind/promoted/views/followed_views.py
+++ b/src/orchidwind/promoted/views/followed_views.py
@@ -8,9 +8,9 @@
 from typing import Any
 
 from orchidwind.promoted.core.configuration import DirectoryEntry, PromotedConfiguration
+from orchidwind.promoted.core.confirming_instances import DEFAULT_ENTRY_OUTLIVES_SECONDS
 from orchidwind.promoted.core.freshness import FollowTimes
 from orchidwind.promoted.core.homes import ProxyMember
-from orchidwind.promoted.core.topology import DEFAULT_ENTRY_OUTLIVES_SECONDS
 from orchidwind.promoted.group.lease_keeper import LeaseKeeper
 from orchidwind.promoted.group.roster_keeper import RosterKeeper
 from orchidwind.promoted.metrics import ProxyMetrics
