--- a/src/orchidwind/promoted/core/homes.py
+++ b/src/orchidwind/promoted/core/homes.py
@@ -28,7 +28,7 @@
 # One can be lost, and requests still have a home in their zone.
 MOST_HOMES_A_ZONE = 2
 # How many groups a proxy may be home of before more proxies of the zone share them. Four groups and
-# 750 requests a second kept the busiest of ten homes at 0.07 of a core (docs/LARGE.md).
+# 750 requests a second kept the busiest of ten homes at 0.07 of a core (docs/CAPACITY.md).
 GROUPS_OF_A_HOME = 10
 _FEWEST_CONNECTIONS = 2
 _SHARED_KEY = "shared-homes"
