--- a/src/orchidwind/promoted/core/failover_choice.py
+++ b/src/orchidwind/promoted/core/failover_choice.py
@@ -1,63 +1,98 @@
-"""Which instance may lead next: whose log surely has every acknowledged commit. No I/O."""
+"""Who may lead next: an instance whose log surely has every acknowledged commit. No I/O, no clock.
+
+The rule, for one attempt (`choose_for_attempt`), where an acknowledged commit is in the log of its
+primary and of `synchronous_replicas` others:
+
+1. The old primary was demoted: its log is the measure. A fenced replica that has as much leads;
+   who had confirmed does not matter.
+2. Else the fenced members are counted (`needed_fences`): of so many at least one has any
+   acknowledged commit, and the longest log of them leads, if it has the log with which the newest
+   term began (`has_earlier_terms`), and no absent instance may hold more (`needs_absent`).
+3. In the first attempts a log that is shorter than what proxies acknowledged is not taken: an
+   instance that holds the rest may be listed late.
+4. If no other log is known to be whole after some attempts, the demoted primary's own is: it leads
+   again.
+
+Of several equal logs, that of an instance which stays is taken.
+
+Owns: nothing. Relies on: the order of steps in `failover`, under which what is counted here cannot
+change between the answers and the promotion.
+"""
 
 from __future__ import annotations
 
 from orchidwind.promoted.core.commands import InstanceRole, InstanceStatus
-from orchidwind.promoted.core.failover_steps import ChoiceReport, FailoverPlan, Statuses
+from orchidwind.promoted.core.failover_steps import FailoverPlan, Statuses
 from orchidwind.promoted.core.log_positions import holds
 
-
-def newest_answering_primary(statuses: Statuses) -> InstanceStatus | None:
-    """The primary of the newest term among those that answered, if no other knows a later one."""
-    primaries = [item for item in statuses.values() if item.role is InstanceRole.PRIMARY]
-    best = max(primaries, key=lambda item: item.term, default=None)
-    if best is None or any(item.term > best.term for item in statuses.values()):
-        return None
-    return best
+# Attempts before a demoted primary's own log is taken. Chosen: three attempts are 0.1 s and what
+# the calls take; a replica of its log is better, as the primary was demoted for a reason.
+ATTEMPTS_FOR_ANOTHER = 3
+# Attempts before a log that is shorter than what proxies may have acknowledged is taken: 0.05 to
+# 0.12 s. Chosen: an instance that holds the rest may be listed a little late.
+ATTEMPTS_FOR_ACKNOWLEDGED = 2
 
 
-def leader_of(plan: FailoverPlan, statuses: Statuses) -> InstanceStatus | None:
-    """The primary of the newest term that can have begun; None where none of them answers."""
-    best = newest_answering_primary(statuses)
-    if best is None or _may_have_successor(plan, best, statuses):
-        return None
-    return best
+def choose_for_attempt(
+    plan: FailoverPlan,
+    fenced: Statuses,
+    demoted: InstanceStatus | None,
+    fence_term: int,
+    attempt: int,
+) -> InstanceStatus | None:
+    """The next primary by the answers of one attempt (0 is the first), None where none is known."""
+    candidate = choose_candidate(plan, fenced, demoted, fence_term)
+    if candidate is not None and demoted is None and attempt < ATTEMPTS_FOR_ACKNOWLEDGED:
+        candidate = candidate if _has_all_acknowledged(plan, candidate) else None
+    if candidate is None and attempt >= ATTEMPTS_FOR_ANOTHER:
+        return demoted
+    return candidate
 
 
-def _may_have_successor(plan: FailoverPlan, leader: InstanceStatus, statuses: Statuses) -> bool:
-    """Whether another instance, promoted later, may lead out of this proxy's sight.
+def is_still_best(
+    plan: FailoverPlan,
+    candidate: InstanceStatus,
+    demoted: InstanceStatus | None,
+    fence_term: int,
+    again: Statuses,
+) -> bool:
+    """Whether a candidate may still lead by answers that came right before its promotion.
 
-    Guards against an old primary that does not know of its successor, and is the only one that
-    answers: its log has nothing of the newer term.
+    Guards against a restart meanwhile, which drops a fence, and against an instance that has gone.
     """
-    last = plan.last_promotion
-    if last is None or last.term <= leader.term or last.instance == leader.instance:
+    now = again.get(candidate.instance)
+    if now is None or now.role is InstanceRole.PRIMARY:
         return False
-    if last.instance in statuses:
-        # It answers, and it does not know the term that it was promoted to: it never led.
-        return statuses[last.instance].term >= last.term
-    if last.instance in plan.members and last.instance not in plan.unlisted:
-        # It runs, as the directory says: it may yet lead, or leads for others.
-        return True
-    followers = [name for name in plan.members if name not in (leader.instance, last.instance)]
-    # It acknowledged nothing in its term if nobody followed it.
-    followed = any(name not in statuses or statuses[name].term >= last.term for name in followers)
-    return followed or not followers
+    if demoted is not None and candidate.instance == demoted.instance:
+        return holds(now.received, demoted.received)
+    still = choose_candidate(plan, again, demoted, fence_term)
+    return still is not None and now.received >= still.received
 
 
-def needed_fences(plan: FailoverPlan) -> int:
-    """How many fenced members surely share one with the holders of any acknowledged commit.
+def choose_candidate(
+    plan: FailoverPlan, fenced: Statuses, demoted: InstanceStatus | None, fence_term: int
+) -> InstanceStatus | None:
+    """The instance whose log surely has every acknowledged commit, None where none is known.
 
-    A commit is on its primary and on `synchronous_replicas` others. Where that primary may be
-    none of the members, it is only known to be on the others. Absent ones are left out: see
-    `needs_absent`.
+    Of several, one that stays is taken.
     """
-    synchronous = max(plan.synchronous_replicas, 1)
-    leaders = {plan.old_primary}
-    if plan.last_promotion is not None:
-        leaders.add(plan.last_promotion.instance)
-    holders = synchronous + 1 if leaders <= set(plan.members) else synchronous
-    return max(1, len(plan.members) - holders + 1)
+    replicas = fenced_replicas(fenced, fence_term)
+    if demoted is not None:
+        whole = [item for item in replicas if holds(item.received, demoted.received)]
+        if whole:
+            return _best(plan, whole)
+    counted = counted_replicas(plan, fenced, demoted, fence_term)
+    if len(counted) < needed_fences(plan) or not plan.members_known:
+        return None
+    longest = max(item.received for item in counted)
+    able = [
+        item
+        for item in counted
+        if item.received == longest
+        and has_earlier_terms(plan, item, fenced)
+        and not needs_absent(plan, item, len(counted))
+    ]
+    return _best(plan, able)
 
 
 def fenced_replicas(fenced: Statuses, fence_term: int) -> list[InstanceStatus]:
@@ -81,38 +116,27 @@
     ]
 
 
-def choose_candidate(
-    plan: FailoverPlan, fenced: Statuses, demoted: InstanceStatus | None, fence_term: int
-) -> InstanceStatus | None:
-    """The instance whose log surely has every acknowledged commit, None where none is known.
+def needed_fences(plan: FailoverPlan) -> int:
+    """How many fenced members surely share one with the holders of any acknowledged commit.
 
-    Of several, one that stays is taken.
+    A commit is on its primary and on `synchronous_replicas` others. Where that primary may be
+    none of the members, it is only known to be on the others. Absent ones are left out: see
+    `needs_absent`.
     """
-    replicas = fenced_replicas(fenced, fence_term)
-    if demoted is not None:
-        whole = [item for item in replicas if holds(item.received, demoted.received)]
-        if whole:
-            return _best(plan, whole)
-    counted = counted_replicas(plan, fenced, demoted, fence_term)
-    if len(counted) < needed_fences(plan) or not plan.members_known:
-        return None
-    longest = max(item.received for item in counted)
-    able = [
-        item
-        for item in counted
-        if item.received == longest
-        and _has_earlier_terms(plan, item, fenced)
-        and not needs_absent(plan, item, len(counted))
-    ]
-    return _best(plan, able)
+    synchronous = max(plan.synchronous_replicas, 1)
+    leaders = {plan.old_primary}
+    if plan.last_promotion is not None:
+        leaders.add(plan.last_promotion.instance)
+    holders = synchronous + 1 if leaders <= set(plan.members) else synchronous
+    return max(1, len(plan.members) - holders + 1)
 
 
 def needs_absent(plan: FailoverPlan, item: InstanceStatus, counted: int) -> bool:
-    """Whether an absent instance may hold a commit that was told and that this log lacks.
+    """Whether an absent instance may hold an acknowledged commit that this log lacks.
 
     It may have gone on confirming when neither the directory nor this proxy heard of it. It is not
-    needed if every proxy, each of which has run since before the newest term began, tells how far
-    commits were told, and this log reaches that far.
+    needed if every proxy, each of which has run since before the newest term began, reports how far
+    it acknowledged, and this log reaches that far.
     """
     if counted >= needed_fences(plan) + len(plan.absent):
         return False
@@ -122,17 +146,12 @@
     return not holds(item.received, acknowledged.end)
 
 
-def newest_led_term(plan: FailoverPlan, statuses: Statuses) -> int:
-    """The newest term in which an instance is known to have led; a fence alone is none."""
-    return max([plan.led_term, *(item.term for item in statuses.values())])
-
-
-def _has_earlier_terms(plan: FailoverPlan, item: InstanceStatus, statuses: Statuses) -> bool:
+def has_earlier_terms(plan: FailoverPlan, item: InstanceStatus, statuses: Statuses) -> bool:
     """Whether a log has every commit that was acknowledged before the newest term began.
 
     The count of fences speaks of the newest term only. What came before is in the log that it began
-    with. Where nobody tells of that log, the newest term is the first one, or the instance
-    has to follow it. Guards against a replica that heard nothing for a term, or is catching up.
+    with. Where nobody knows that log, the newest term is the first one, or the instance
+    has to follow it. Guards against a replica that received nothing for a term, or is catching up.
     """
     last = plan.last_promotion
     if last is None:
@@ -140,59 +159,17 @@
     return holds(item.received, last.start)
 
 
+def newest_led_term(plan: FailoverPlan, statuses: Statuses) -> int:
+    """The newest term in which an instance is known to have led; a fence alone is none."""
+    return max([plan.led_term, *(item.term for item in statuses.values())])
+
+
+def _has_all_acknowledged(plan: FailoverPlan, candidate: InstanceStatus) -> bool:
+    """Whether a log has all that proxies acknowledged, or nobody knows how far that goes."""
+    return plan.acknowledged is None or holds(candidate.received, plan.acknowledged.end)
+
+
 def _best(plan: FailoverPlan, able: list[InstanceStatus]) -> InstanceStatus | None:
     staying = [item for item in able if item.instance not in plan.leaving]
     chosen = staying or able
     return max(chosen, key=lambda item: (item.received, item.instance), default=None)
-
-
-def report_choice(
-    plan: FailoverPlan,
-    fenced: Statuses,
-    demoted: InstanceStatus | None,
-    fence_term: int,
-    chosen: InstanceStatus | None,
-) -> ChoiceReport:
-    """On what a choice rested."""
-    counted = counted_replicas(plan, fenced, demoted, fence_term)
-    passed_over = [
-        (name, _why_not(plan, name, fenced, chosen, fence_term, len(counted)))
-        for name in sorted({*plan.members, *fenced})
-        if chosen is None or name != chosen.instance
-    ]
-    return ChoiceReport(
-        plan.members,
-        plan.absent,
-        plan.members_known,
-        needed_fences(plan),
-        len(counted),
-        f"{demoted.instance}:{demoted.received.term}.{demoted.received.lsn}" if demoted else "",
-        chosen.instance if chosen else "",
-        tuple(passed_over),
-    )
-
-
-def _why_not(
-    plan: FailoverPlan,
-    name: str,
-    fenced: Statuses,
-    chosen: InstanceStatus | None,
-    fence_term: int,
-    counted: int,
-) -> str:
-    status = fenced.get(name)
-    if status is None:
-        return "not_answered"
-    if status.role is InstanceRole.PRIMARY:
-        return "leads"
-    if status.fence_term < fence_term:
-        return "not_fenced"
-    if not _has_earlier_terms(plan, status, fenced):
-        return "lacks_earlier_terms"
-    if chosen is None and needs_absent(plan, status, counted):
-        return "may_lack_what_absent_ones_hold"
-    if chosen is None:
-        return "not_proven"
-    if status.received < chosen.received:
-        return "shorter_log"
-    return "leaving" if name in plan.leaving else "equal"
