--- a/src/orchidwind/promoted/group/group_service.py
+++ b/src/orchidwind/promoted/group/group_service.py
@@ -7,6 +7,7 @@
 from collections.abc import Callable
 from typing import Any, TypeVar
 
+from orchidwind.promoted.core.change_reasons import NOT_CONFIRMING_SECONDS
 from orchidwind.promoted.core.circuit_breaker import CircuitBreaker
 from orchidwind.promoted.core.commands import (
     InstanceMessage,
@@ -23,7 +24,6 @@
 from orchidwind.promoted.core.group_state import GroupState
 from orchidwind.promoted.core.read_planning import ReadPlan, ReadRequest, plan_read
 from orchidwind.promoted.core.steps import ExchangeResult
-from orchidwind.promoted.core.supervision import NOT_CONFIRMING_SECONDS
 from orchidwind.promoted.core.topology import PrimaryView
 from orchidwind.promoted.group.commit_guard import CommitGuard
 from orchidwind.promoted.group.connections import GroupConnections
--- a/src/orchidwind/promoted/group/group_supervision.py
+++ b/src/orchidwind/promoted/group/group_supervision.py
@@ -12,7 +12,7 @@
     FailoverPlan,
     FailoverReason,
 )
-from orchidwind.promoted.core.supervision import GroupSupervisor, Look
+from orchidwind.promoted.core.supervision import GroupSupervisor, SupervisionDecision
 from orchidwind.promoted.group.failover_runner import FailoverRunner, PromotionLockClient
 from orchidwind.promoted.group.group_service import GroupService
 from orchidwind.promoted.group.lease_keeper import LeaseKeeper
@@ -71,9 +71,9 @@
                 pass
             self._wake.clear()
 
-    def _look(self) -> Look:
+    def _look(self) -> SupervisionDecision:
         group = self._group
-        look = self._supervisor.look(
+        look = self._supervisor.decide(
             self._loop.time(),
             group.suspects(),
             group.oldest_write(),
