--- a/src/orchidwind/promoted/core/commands.py
+++ b/src/orchidwind/promoted/core/commands.py
@@ -73,11 +73,6 @@
     REFUSED = "refused"
 
 
-NOT_RUN_CODES = frozenset(
-    (ReplyCode.BUSY, ReplyCode.BEHIND, ReplyCode.READ_ONLY, ReplyCode.UNKNOWN_STATEMENT)
-)
-
-
 @unique
 class TransactionState(Enum):
     """The state of a session or of a server connection."""
--- a/src/orchidwind/promoted/core/flow_parts.py
+++ b/src/orchidwind/promoted/core/flow_parts.py
@@ -1,4 +1,10 @@
-"""What the flows on a promoted group have in common: context, exchanges, finding an instance."""
+"""What the flows on a promoted group have in common: context, exchanges, finding an instance.
+
+What for: `flows` and `transaction_flows` read in the order of their steps; this is what both do.
+Which answer leads to another attempt, after which pause, is decided by `attempts`.
+Owns: what one command has done so far (`CommandContext`). Relies on: a driver that carries out each
+step, and throws RequestError or BackendConnectionLost in where it fails.
+"""
 
 from __future__ import annotations
 
@@ -6,6 +12,13 @@
 from dataclasses import dataclass, field, replace
 
 from orchidwind.promoted.core.answers import reported
+from orchidwind.promoted.core.attempts import (
+    RETRY_PAUSE_SECONDS,
+    NextAttempt,
+    after_read,
+    after_write,
+    busy_pause,
+)
 from orchidwind.promoted.core.commands import (
     Command,
     CommandKind,
@@ -36,14 +49,16 @@
     ProofMissing,
 )
 
-BUSY_PAUSE_SECONDS = 0.015
-# Up to 0.12 s: a full queue of the first users' instances takes 0.1 to 0.3 s to run empty.
-_MOST_BUSY_DOUBLINGS = 3
-
 
 @dataclass(slots=True)
 class CommandContext:
-    """What the flows of one command share. Times are in seconds of the steady clock."""
+    """What the flows of one command share.
+
+    `arrived_at`: in seconds of the steady clock. `excluded`: replicas that have failed it.
+    `sent_write`: an exchange that is under way may change data. `attempts`: what each attempt was
+    based on and how it ended, for the log. `sent_to`: the instance of the last attempt.
+    `busy_replies`: how many attempts were answered BUSY.
+    """
 
     session: Session
     group: GroupState
@@ -61,15 +76,12 @@
         self.attempts.append(f"{instance}:{what}")
 
 
-def pause_of_busy(context: CommandContext, instance: str) -> Pause:
-    """An instance refused work: the pause before this command asks again, longer each time.
-
-    A full instance is not helped by one more attempt each some milliseconds of all that wait.
-    """
+def pause_after_busy(context: CommandContext, instance: str) -> Pause:
+    """An instance refused work: the pause before this command asks again."""
     context.group.instance_busy(instance)
-    seconds = BUSY_PAUSE_SECONDS * 2 ** min(context.busy_replies, _MOST_BUSY_DOUBLINGS)
+    pause = Pause(busy_pause(context.busy_replies))
     context.busy_replies += 1
-    return Pause(seconds)
+    return pause
 
 
 def statement_messages(context: CommandContext, connection: int) -> list[InstanceMessage]:
@@ -162,7 +174,7 @@
 def wait_for_proof(context: CommandContext) -> Generator[Step, StepResult, None]:
     """Send nothing to a primary of doubtful lead until some replica confirms its term."""
     while True:
-        yield Pause(BUSY_PAUSE_SECONDS)
+        yield Pause(RETRY_PAUSE_SECONDS)
         primary = yield WaitForPrimary(lead_proof=True)
         assert isinstance(primary, PrimaryView)
         context.note(primary.instance, f"term={primary.term}:lead_not_proven")
@@ -174,7 +186,7 @@
     """A connection broke: try another replica next; the primary has no substitute."""
     context.note(plan.instance, "connection_lost")
     if plan.proof_of_term:
-        yield Pause(BUSY_PAUSE_SECONDS)
+        yield Pause(RETRY_PAUSE_SECONDS)
     else:
         context.excluded.add(plan.instance)
 
@@ -182,19 +194,14 @@
 def after_failed_read(
     context: CommandContext, plan: ReadPlan, reply: Reply
 ) -> Generator[Step, StepResult, None]:
-    """Prepare another attempt, or raise what the caller is told."""
-    if reply.code is ReplyCode.BEHIND:
-        if plan.floor is not None:
-            context.group.replica_behind(plan.instance, plan.floor)
+    """Prepare another attempt, or raise what the caller is answered."""
+    if reply.code is ReplyCode.BEHIND and plan.floor is not None:
+        context.group.replica_behind(plan.instance, plan.floor)
+    following = after_read(reply.code)
+    if following is NextAttempt.OTHER_INSTANCE:
         context.excluded.add(plan.instance)
         return
-    if reply.code is ReplyCode.BUSY:
-        yield pause_of_busy(context, plan.instance)
-        return
-    if reply.code in (ReplyCode.UNKNOWN_STATEMENT, ReplyCode.READ_ONLY):
-        yield Pause(BUSY_PAUSE_SECONDS)
-        return
-    raise reported(reply)
+    yield from _pause_before(following, context, plan.instance, reply)
 
 
 def primary_connection(
@@ -215,14 +222,21 @@
 def after_refused_write(
     context: CommandContext, instance: str, reply: Reply
 ) -> Generator[Step, StepResult, None]:
-    """Prepare another attempt of a write that did not run, or raise what the caller is told."""
-    if reply.code is ReplyCode.READ_ONLY:
+    """Prepare another attempt of a write that did not run, or raise what the caller is answered."""
+    following = after_write(reply.code)
+    if following is NextAttempt.NEW_PRIMARY:
         context.group.refused_write(instance)
         return
-    if reply.code is ReplyCode.BUSY:
-        yield pause_of_busy(context, instance)
-        return
-    if reply.code in (ReplyCode.UNKNOWN_STATEMENT, ReplyCode.BEHIND):
-        yield Pause(BUSY_PAUSE_SECONDS)
-        return
-    raise reported(reply)
+    yield from _pause_before(following, context, instance, reply)
+
+
+def _pause_before(
+    following: NextAttempt, context: CommandContext, instance: str, reply: Reply
+) -> Generator[Step, StepResult, None]:
+    """The pause before the next attempt; raises RequestError where there is none."""
+    if following is NextAttempt.AFTER_BUSY_PAUSE:
+        yield pause_after_busy(context, instance)
+    elif following is NextAttempt.AFTER_PAUSE:
+        yield Pause(RETRY_PAUSE_SECONDS)
+    else:
+        raise reported(reply)
--- a/src/orchidwind/promoted/core/transaction_flows.py
+++ b/src/orchidwind/promoted/core/transaction_flows.py
@@ -1,8 +1,15 @@
-"""Transactions on a promoted group: opened with their first statement, pinned to a connection."""
+"""Transactions on a promoted group: opened with their first statement, pinned to a connection.
+
+What for: the order of steps of a statement in a transaction, of COMMIT and of ROLLBACK. Whatever
+fails ends the transaction: the instance rolls it back, and a COMMIT leaves once.
+Owns: nothing; the open transaction is the session's. Relies on: `flow_parts` for what single
+commands do, too, and `attempts` for what is sent again.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Generator
+from itertools import count
 
 from orchidwind.promoted.core.answers import (
     read_interrupted,
@@ -10,12 +17,12 @@
     transaction_lost,
     write_in_doubt,
 )
+from orchidwind.promoted.core.attempts import again_in_transaction
 from orchidwind.promoted.core.commands import (
     CommandResult,
     InstanceMessage,
     MessageKind,
     Reply,
-    ReplyCode,
     TransactionState,
 )
 from orchidwind.promoted.core.flow_parts import (
@@ -24,7 +31,7 @@
     after_refused_write,
     exchange,
     exchange_by_plan,
-    pause_of_busy,
+    pause_after_busy,
     primary_connection,
     read_connection,
     statement_messages,
@@ -44,8 +51,6 @@
     RequestError,
 )
 
-_BUSY_ATTEMPTS_IN_TRANSACTION = 8
-
 
 def transaction_flow(context: CommandContext, transaction: OpenTransaction) -> Flow:
     """A statement in a transaction; the first one opens it on an instance."""
@@ -67,17 +72,16 @@
     context: CommandContext, transaction: OpenTransaction, messages: tuple[InstanceMessage, ...]
 ) -> Generator[Step, StepResult, Reply]:
     """Run on the transaction's connection; a statement that did not run may be sent again."""
-    for attempt in range(_BUSY_ATTEMPTS_IN_TRANSACTION):
-        if attempt:
-            yield pause_of_busy(context, transaction.instance)
+    for attempt in count(1):
         try:
             reply = yield from exchange(context, transaction.connection, messages)
         except (BackendConnectionLost, RequestError) as error:
             yield from _abandon(context, transaction, reusable=False)
             raise transaction_lost() from error
-        if reply.code is not ReplyCode.BUSY or reply.state is not TransactionState.OPEN:
+        if not again_in_transaction(reply, attempt):
             break
         messages = messages[-1:]
+        yield pause_after_busy(context, transaction.instance)
     return reply
 
 
@@ -184,9 +188,7 @@
     context: CommandContext, transaction: OpenTransaction, message: InstanceMessage
 ) -> Generator[Step, StepResult, Reply]:
     """Send COMMIT; once more only where the instance said that it did not run."""
-    for attempt in range(_BUSY_ATTEMPTS_IN_TRANSACTION):
-        if attempt:
-            yield pause_of_busy(context, transaction.instance)
+    for attempt in count(1):
         context.sent_write = transaction.wrote
         context.sent_to = transaction.instance
         try:
@@ -202,8 +204,9 @@
                 raise write_in_doubt() from error
             raise read_interrupted() from error
         context.sent_write = False
-        if reply.code is not ReplyCode.BUSY or reply.state is not TransactionState.OPEN:
+        if not again_in_transaction(reply, attempt):
             break
+        yield pause_after_busy(context, transaction.instance)
     return reply
 
 
