--- a/src/orchidwind/promoted/group/connections.py
+++ b/src/orchidwind/promoted/group/connections.py
@@ -187,9 +187,9 @@
         return PoolUsage(pool.size, len(pool.queue)) if pool else PoolUsage(0, 0)
 
     @property
-    def holding(self) -> set[str]:
-        """Instances to which a request holds a connection."""
-        return {name for name, pool in self._pools.items() if pool.busy}
+    def holding(self) -> list[str]:
+        """Instances to which a request holds a connection, in the order of their first use."""
+        return [name for name, pool in self._pools.items() if pool.busy]
 
     @property
     def opened(self) -> set[str]:
--- a/src/orchidwind/promoted/group/group_service.py
+++ b/src/orchidwind/promoted/group/group_service.py
@@ -90,7 +90,8 @@
         self._resting = RestingConnections(self.connections, self._calls.close_resting)
         self.prover = LeadProver(self.topology, leases, self.ask_status)
         self._guard = CommitGuard(self.topology, self.prover, self.ask_status)
-        self._waiters: set[asyncio.Future[None]] = set()
+        # By arrival: a request that was woken in vain waits on in its place.
+        self._waiters: dict[object, asyncio.Future[None]] = {}
         self._tasks: set[asyncio.Task[Any]] = set()
         self._writing: set[int] = set()
         self._suspects: set[str] = set()
@@ -138,8 +139,7 @@
         self._on_wake()
 
     def _wake_waiters(self) -> None:
-        waiters, self._waiters = self._waiters, set()
-        for waiter in waiters:
+        for waiter in self._waiters.values():
             if not waiter.done():
                 waiter.set_result(None)
 
@@ -239,6 +239,15 @@
     # --- waiting ------------------------------------------------------------------------------
 
     async def _wait_for(self, look: Callable[[], T | None], deadline: float, kind: ErrorKind) -> T:
+        request = object()
+        try:
+            return await self._wait_in_order(request, look, deadline, kind)
+        finally:
+            self._waiters.pop(request, None)
+
+    async def _wait_in_order(
+        self, request: object, look: Callable[[], T | None], deadline: float, kind: ErrorKind
+    ) -> T:
         began = self._loop.time()
         while True:
             found = look()
@@ -247,7 +256,7 @@
                 return found
             self._refuse_if(self._finding, kind, "no instance has served for long")
             waiter: asyncio.Future[None] = self._loop.create_future()
-            self._waiters.add(waiter)
+            self._waiters[request] = waiter
             self._note_used()
             self._on_wake()
             try:
@@ -256,8 +265,6 @@
             except TimeoutError as error:
                 self._finding.failed(began)
                 raise RequestError(kind, kind.value) from error
-            finally:
-                self._waiters.discard(waiter)
 
     def _refuse_if(self, breaker: CircuitBreaker, kind: ErrorKind, reason: str) -> None:
         """Raise RequestError where something that a request needs is known to fail here."""
--- a/src/orchidwind/promoted/group/status_calls.py
+++ b/src/orchidwind/promoted/group/status_calls.py
@@ -187,7 +187,7 @@
                     await self._ask_anew(instance, lambda link: link.status())
                 left = asked_at + RESTING_SILENT_SECONDS - self._loop.time()
                 _, waiting = await asyncio.wait(waiting, timeout=left)
-                silent = [asking[task] for task in waiting]
+                silent = [item for task, item in asking.items() if task in waiting]
         except (BackendRefused, BackendConnectionLost, TimeoutError) as error:
             log_event("silence_not_confirmed", instance=instance, reason=repr(error))
         finally:
