--- a/src/orchidwind/promoted/group/group_service.py
+++ b/src/orchidwind/promoted/group/group_service.py
@@ -287,12 +287,12 @@
         self, deadline: float, lead_proof: bool, commit: bool
     ) -> PrimaryView:
         """Wait for a primary; raises RequestError, at once where what it needs is known to fail."""
-        if lead_proof:
-            self._refuse_if(self._proving, ErrorKind.NO_PRIMARY, "its lead cannot be proven here")
+        if lead_proof or commit:
+            # Asked once: a probe that the first question lets through is refused by a second.
+            missing = "its lead" if lead_proof else "its commits"
+            reason = f"{missing} cannot be proven here"
+            self._refuse_if(self._proving, ErrorKind.NO_PRIMARY, reason)
         if commit:
-            self._refuse_if(
-                self._proving, ErrorKind.NO_PRIMARY, "its commits cannot be proven here"
-            )
             self._note_waited(self.oldest_write())
             self._refuse_if(self._committing, ErrorKind.NO_PRIMARY, "it confirms no commits")
         return await self._wait_for(
--- a/tests/promoted/test_circuit_breaker.py
+++ b/tests/promoted/test_circuit_breaker.py
@@ -128,3 +128,35 @@
         assert (await tried(system, "proxy-a", CommandKind.WRITE, "healed"))[1] is None
 
     play(scenario)
+
+
+async def written_in_transaction(system, name, number):
+    """Whether a transaction could begin and write, and if not, whether anything ran."""
+    executor = SessionExecutor(system.nodes[name], "latest")
+    await executor.execute(Command("-", CommandKind.BEGIN, "BEGIN"))
+    try:
+        await executor.execute(Command(f"{name}-t{number}", CommandKind.WRITE, "WRITE x y"))
+    except RequestError as error:
+        return ANSWERS[error.kind].ran
+    finally:
+        await executor.execute(Command("-", CommandKind.ROLLBACK, "ROLLBACK"))
+    return None
+
+
+def test_after_an_outage_a_transaction_is_let_through_as_a_probe():
+    """A transaction relies on a proven lead and on its commit, both of which need the proof."""
+
+    async def scenario(system):
+        isolate(system, "proxy-a")
+        for number in range(40):
+            await tried(system, "proxy-a", CommandKind.READ, number)
+            await asyncio.sleep(0.05)
+        assert await written_in_transaction(system, "proxy-a", "apart") is Ran.NO
+        system.world.network.heal()
+        outcomes = []
+        for number in range(20):
+            await asyncio.sleep(0.1)
+            outcomes.append(await written_in_transaction(system, "proxy-a", number))
+        assert None in outcomes
+
+    play(scenario)
