--- a/src/orchidwind/promoted/group/group_service.py
+++ b/src/orchidwind/promoted/group/group_service.py
@@ -91,7 +91,8 @@
         self._resting = RestingConnections(self.connections, self._calls.close_resting)
         self.prover = LeadProver(self.topology, leases, self.ask_status)
         self._guard = CommitGuard(self.topology, self.prover, self.ask_status)
-        self._waiters: set[asyncio.Future[None]] = set()
+        # By arrival: a request that was woken in vain waits on in its place.
+        self._waiters: dict[object, asyncio.Future[None]] = {}
         self._tasks: set[asyncio.Task[Any]] = set()
         self._writing: set[int] = set()
         self._suspects: set[str] = set()
@@ -139,8 +140,7 @@
         self._on_wake()
 
     def _wake_waiters(self) -> None:
-        waiters, self._waiters = self._waiters, set()
-        for waiter in waiters:
+        for waiter in self._waiters.values():
             if not waiter.done():
                 waiter.set_result(None)
 
@@ -242,6 +242,15 @@
     # --- waiting ------------------------------------------------------------------------------
 
     async def _wait_for(self, look: Callable[[], T | None], deadline: float, kind: ErrorKind) -> T:
+        request = object()
+        try:
+            return await self._wait_in_order(request, look, deadline, kind)
+        finally:
+            self._waiters.pop(request, None)
+
+    async def _wait_in_order(
+        self, request: object, look: Callable[[], T | None], deadline: float, kind: ErrorKind
+    ) -> T:
         began = self._loop.time()
         while True:
             found = look()
@@ -250,7 +259,7 @@
                 return found
             self._refuse_if(self._finding, kind, "no instance has served for long")
             waiter: asyncio.Future[None] = self._loop.create_future()
-            self._waiters.add(waiter)
+            self._waiters[request] = waiter
             self._note_used()
             self._on_wake()
             try:
@@ -259,8 +268,6 @@
             except TimeoutError as error:
                 self._finding.failed(began)
                 raise RequestError(kind, kind.value) from error
-            finally:
-                self._waiters.discard(waiter)
 
     def _refuse_if(self, breaker: CircuitBreaker, kind: ErrorKind, reason: str) -> None:
         """Raise RequestError where something that a request needs is known to fail here."""
@@ -283,12 +290,12 @@
         self, deadline: float, lead_proof: bool, commit: bool
     ) -> PrimaryView:
         """Wait for a primary; raises RequestError, at once where what it needs is known to fail."""
-        if lead_proof:
-            self._refuse_if(self._proving, ErrorKind.NO_PRIMARY, "its lead cannot be proven here")
+        if lead_proof or commit:
+            # Asked once: a probe that the first question lets through is refused by a second.
+            missing = "its lead" if lead_proof else "its commits"
+            reason = f"{missing} cannot be proven here"
+            self._refuse_if(self._proving, ErrorKind.NO_PRIMARY, reason)
         if commit:
-            self._refuse_if(
-                self._proving, ErrorKind.NO_PRIMARY, "its commits cannot be proven here"
-            )
             self._note_waited(self.oldest_write())
             self._refuse_if(self._committing, ErrorKind.NO_PRIMARY, "it confirms no commits")
         return await self._wait_for(
