--- a/src/orchidwind/platform/http_call.py
+++ b/src/orchidwind/platform/http_call.py
@@ -1,4 +1,9 @@
-"""One HTTP/1.1 call on a connection of its own, whose far end is noticed when it goes dark."""
+"""One HTTP/1.1 call on a connection of its own, for the platform's store and promotion service.
+
+For: calls whose failure says how far they came (`HttpCallFailed`), and answers on slow links, which
+are waited for as long as they are arriving. Owns the connection of the call. Relies on
+`shared.sockets` to notice a far end that goes dark. It repeats nothing: its callers do.
+"""
 
 from __future__ import annotations
 
@@ -19,6 +24,7 @@
 from orchidwind.shared.core.errors import OrchidwindError
 from orchidwind.shared.sockets import client_socket
 
+# Chosen: 64 times the longest object of the first users' store, so no listing of it is cut.
 _MAXIMUM_BODY_BYTES = 64 * 1024 * 1024
 # An answer that is arriving is waited for until nothing came for so long. A window of 64 KB takes
 # 0.1 s on a link of 5 Mbit/s, and a lost packet some tenths more.
@@ -67,31 +73,89 @@
     body: bytes
 
 
-class _Collector(HTTPMessageDelegate):
-    def __init__(self, on_bytes: Callable[[], None]) -> None:
-        self._on_bytes = on_bytes
+class _AnswerCollector(HTTPMessageDelegate):
+    """Takes the parts of an answer as they come; `on_body` is called for each part of its body."""
+
+    def __init__(self, on_body: Callable[[], None]) -> None:
+        self._on_body = on_body
+        self._loop = asyncio.get_running_loop()
         self.status = 0
         self.body = bytearray()
         self.finished = False
         # When bytes came last, in seconds of the steady clock; None: none came.
-        self.heard_at: float | None = None
+        self.last_byte_at: float | None = None
 
     def headers_received(
         self, start_line: ResponseStartLine | RequestStartLine, headers: HTTPHeaders
     ) -> None:
-        self.heard_at = asyncio.get_running_loop().time()
+        self.last_byte_at = self._loop.time()
         if isinstance(start_line, ResponseStartLine):
             self.status = start_line.code
 
     def data_received(self, chunk: bytes) -> None:
-        self.heard_at = asyncio.get_running_loop().time()
+        self.last_byte_at = self._loop.time()
         self.body += chunk
-        self._on_bytes()
+        self._on_body()
 
     def finish(self) -> None:
         self.finished = True
 
 
+class _Call:
+    """One call under way: its time limit, and how far it has come."""
+
+    def __init__(self, request: HttpRequest, on_arrival: Callable[[], None] | None) -> None:
+        self._request = request
+        self._on_arrival = on_arrival
+        self._answer = _AnswerCollector(self._body_arrived)
+        self._limit: asyncio.Timeout | None = None
+        self._loop = asyncio.get_running_loop()
+        # Seconds of the steady clock; None: the connection is not open yet.
+        self._started_at = self._loop.time()
+        self._connected_at: float | None = None
+
+    async def run(self, seconds: float) -> HttpAnswer:
+        """Connect, send and wait for the whole answer; raises HttpCallFailed."""
+        stream = IOStream(client_socket())
+        try:
+            async with asyncio.timeout(seconds) as self._limit:
+                await stream.connect(self._request.address)
+                self._connected_at = self._loop.time()
+                return await _exchange(stream, self._request, self._answer)
+        except TimeoutError as error:
+            raise self._failure("time out", self._silent_for()) from error
+        except (StreamClosedError, OSError, HTTPInputError) as error:
+            raise self._failure(str(error) or "closed", None) from error
+        finally:
+            stream.close()
+
+    def _body_arrived(self) -> None:
+        """Part of the body has come: the caller may allow more time for the rest."""
+        due = self._limit.when() if self._limit is not None else None
+        if self._limit is None or self._on_arrival is None or due is None:
+            return
+        self._on_arrival()
+        next_part_due = self._loop.time() + ARRIVING_SECONDS
+        latest = self._started_at + LONGEST_ANSWER_SECONDS
+        self._limit.reschedule(max(due, min(next_part_due, latest)))
+
+    def _silent_for(self) -> float | None:
+        """Seconds without a byte on the open connection; None where it is not open."""
+        if self._connected_at is None:
+            return None
+        return self._loop.time() - (self._answer.last_byte_at or self._connected_at)
+
+    def _failure(self, reason: str, silent_for: float | None) -> HttpCallFailed:
+        now = self._loop.time()
+        sent = self._connected_at is not None
+        stage = "waiting for the answer" if sent else "connecting"
+        received = len(self._answer.body)
+        arrived = f" and {received} bytes of it" if received else ""
+        text = f"{reason} while {stage}, after {now - self._started_at:.3f} s{arrived}"
+        open_for = None if self._connected_at is None else now - self._connected_at
+        return HttpCallFailed(text, sent=sent, silent_for=silent_for, open_for=open_for)
+
+
 async def http_call(
     request: HttpRequest, seconds: float, on_arrival: Callable[[], None] | None = None
 ) -> HttpAnswer:
@@ -100,46 +164,10 @@
     With `on_arrival`, which is called as bytes of the answer's body come, an answer that is
     arriving is waited for beyond `seconds`; without, the call ends then in any case.
     """
-    stream = IOStream(client_socket())
-    loop = asyncio.get_running_loop()
-    started_at = loop.time()
-    sent = False
-    sent_at = started_at
-
-    def extend() -> None:
-        due = limit.when()
-        if on_arrival is None or due is None:
-            return
-        on_arrival()
-        patience = min(loop.time() + ARRIVING_SECONDS, started_at + LONGEST_ANSWER_SECONDS)
-        limit.reschedule(max(due, patience))
+    return await _Call(request, on_arrival).run(seconds)
 
-    collector = _Collector(extend)
 
-    def failed(reason: str, silent_for: float | None = None) -> HttpCallFailed:
-        stage = "waiting for the answer" if sent else "connecting"
-        spent = loop.time() - started_at
-        arrived = f" and {len(collector.body)} bytes of it" if collector.body else ""
-        told = f"{reason} while {stage}, after {spent:.3f} s{arrived}"
-        open_for = loop.time() - sent_at if sent else None
-        return HttpCallFailed(told, sent=sent, silent_for=silent_for, open_for=open_for)
-
-    try:
-        async with asyncio.timeout(seconds) as limit:
-            await stream.connect(request.address)
-            sent = True
-            sent_at = loop.time()
-            return await _exchange(stream, request, collector)
-    except TimeoutError as error:
-        silent_for = loop.time() - (collector.heard_at or sent_at) if sent else None
-        raise failed("time out", silent_for) from error
-    except (StreamClosedError, OSError, HTTPInputError) as error:
-        raise failed(str(error) or "closed") from error
-    finally:
-        stream.close()
-
-
-async def _exchange(stream: IOStream, request: HttpRequest, collector: _Collector) -> HttpAnswer:
+async def _exchange(stream: IOStream, request: HttpRequest, answer: _AnswerCollector) -> HttpAnswer:
     parameters = HTTP1ConnectionParameters(
         no_keep_alive=True, max_body_size=_MAXIMUM_BODY_BYTES, decompress=False
     )
@@ -152,7 +180,7 @@
     line = RequestStartLine(request.method, request.path, "HTTP/1.1")
     connection.write_headers(line, headers, request.body or None)
     connection.finish()
-    await connection.read_response(collector)
-    if not collector.finished:
+    await connection.read_response(answer)
+    if not answer.finished:
         raise StreamClosedError
-    return HttpAnswer(collector.status, bytes(collector.body))
+    return HttpAnswer(answer.status, bytes(answer.body))
