--- a/src/orchidwind/platform/callers.py
+++ b/src/orchidwind/platform/callers.py
@@ -10,6 +10,7 @@
 from orchidwind.platform import wire
 from orchidwind.promoted.callers.session_executor import SessionExecutor
 from orchidwind.promoted.callers.session_registry import SessionRegistry
+from orchidwind.promoted.core.call_limits import FIRST_CONFIGURATION_SECONDS
 from orchidwind.promoted.core.commands import Command, TransactionState
 from orchidwind.promoted.proxy_runtime import ProxyRuntime
 from orchidwind.shared.core.errors import ErrorKind, RequestError
@@ -17,7 +18,6 @@
 from orchidwind.shared.sockets import watchful
 
 _READ_BYTES = 65536
-_PREPARED_SECONDS = 1.5
 _MALFORMED = RequestError(ErrorKind.PROTOCOL_VIOLATION, "the message is not of this protocol")
 _TOO_LARGE = RequestError(ErrorKind.MESSAGE_TOO_LARGE, "the message is too long")
 
@@ -121,7 +121,7 @@
         return True
 
     async def _refusal(self, database: str) -> RequestError | None:
-        if not await self._node.wait_prepared(_PREPARED_SECONDS):
+        if not await self._node.wait_prepared(FIRST_CONFIGURATION_SECONDS):
             return RequestError(ErrorKind.NO_HOME, "no configuration is known yet")
         if self._node.database(database) is None:
             return RequestError(ErrorKind.UNKNOWN_DATABASE, database)
--- a/src/orchidwind/platform/coordination.py
+++ b/src/orchidwind/platform/coordination.py
@@ -1,23 +1,24 @@
-"""The product's own objects in the store: promotion lock, rosters, lead leases, members.
+"""The product's own objects in the store: promotion lock, rosters, lead leases, proxies.
+
+For: the ports `PromotionLockStore`, `RosterStore`, `LeaseRegistry`, `MemberStore` and the watched
+collections of these kinds. Owns the names under which their content is stored, which older and
+newer processes read from one another: they do not change. Relies on `store` for the calls.
 
 Source: the users' page PROTOCOL.md, "The platform's metadata store".
 """
 
 from __future__ import annotations
 
-from urllib.parse import quote
-
 import msgspec
 
-from orchidwind.platform.store import (
-    CALL_SECONDS,
-    OBJECTS,
-    KeptObject,
-    ObjectStore,
+from orchidwind.platform.store import ObjectStore, read_all
+from orchidwind.platform.stored_objects import (
+    ObjectVersion,
     StoredObject,
     decode,
-    read_all,
+    object_path,
 )
+from orchidwind.promoted.core.call_limits import STORE_CALL_SECONDS
 from orchidwind.promoted.core.homes import ProxyMember
 from orchidwind.promoted.core.promotion_lock import LockRecord
 from orchidwind.promoted.core.roster import PromotionRecord, Roster
@@ -40,9 +41,12 @@
 class _PromotionSpec(msgspec.Struct):
     instance: str
     term: int
+    # The end of the log at which the new primary's term begins.
     start_term: int
     start_number: int
+    # The promotion lock's revision with which the promotion was sent.
     token: int
+    # The primary before; empty where none was known.
     replaced: str = ""
 
 
@@ -51,15 +55,17 @@
     last_promotion: _PromotionSpec | None = None
 
 
-class _ToldSpec(msgspec.Struct):
+class _LogEndSpec(msgspec.Struct):
     term: int
     number: int
 
 
 class _LeaseSpec(msgspec.Struct):
+    # Of the promotion lock: as this proxy last saw it, and as it was when the process began.
     revision: int = 0
     first_revision: int = 0
-    told: dict[str, _ToldSpec] = {}
+    # By group: up to which end of the log this proxy may have acknowledged commits.
+    acknowledged: dict[str, _LogEndSpec] = msgspec.field(default_factory=dict, name="told")
     left: bool = False
 
 
@@ -120,9 +126,9 @@
 
     async def write(self, roster: Roster, create: bool) -> Roster:
         """Create or replace one; raises PlatformConflict, -Uncertain, -Error."""
-        kept = KeptObject(_ROSTERS, roster.group, roster.revision, create)
+        version = ObjectVersion(_ROSTERS, roster.group, roster.revision, is_new=create)
         spec = _RosterSpec(list(roster.members), _promotion_spec(roster.last_promotion))
-        return _roster(await self._store.keep(kept, spec))
+        return _roster(await self._store.write(version, spec))
 
 
 class LeaseObjects:
@@ -130,34 +136,35 @@
 
     def __init__(self, store: ObjectStore) -> None:
         self._store = store
-        self._path = OBJECTS + _LEASES
 
     async def confirm(self, confirmation: LeaseConfirmation) -> int:
         """Write the proxy's object, whether or not it is there; raises PlatformError."""
         spec = _lease_spec(confirmation)
-        written = await self._store.put_anyway(_LEASES, confirmation.node, spec)
+        written = await self._store.overwrite_or_create(_LEASES, confirmation.node, spec)
         return written.meta.revision
 
     async def confirmations(self) -> tuple[LeaseConfirmation, ...]:
         """All objects; raises PlatformError."""
-        listing = await read_all(self._store, self._path, CALL_SECONDS)
+        listing = await read_all(self._store, _LEASES, STORE_CALL_SECONDS)
         return tuple(_confirmation(item) for item in listing.items)
 
     async def leave(self, confirmation: LeaseConfirmation, revision: int) -> None:
         """Write over the proxy's object at a revision; raises PlatformConflict, PlatformError."""
-        kept = KeptObject(_LEASES, confirmation.node, revision, create=False)
-        await self._store.keep(kept, _lease_spec(confirmation))
+        version = ObjectVersion(_LEASES, confirmation.node, revision, is_new=False)
+        await self._store.write(version, _lease_spec(confirmation))
 
 
 def _lease_spec(confirmation: LeaseConfirmation) -> _LeaseSpec:
-    told = {name: _ToldSpec(end.term, end.lsn) for name, end in confirmation.acknowledged.items()}
-    return _LeaseSpec(confirmation.revision, confirmation.first_revision, told, confirmation.left)
+    ends = {
+        group: _LogEndSpec(end.term, end.lsn) for group, end in confirmation.acknowledged.items()
+    }
+    return _LeaseSpec(confirmation.revision, confirmation.first_revision, ends, confirmation.left)
 
 
 def _confirmation(stored: StoredObject) -> LeaseConfirmation:
     spec = decode(stored.spec, _LeaseSpec)
-    told = {name: Position(end.term, end.number) for name, end in spec.told.items()}
-    return LeaseConfirmation(stored.meta.name, spec.revision, spec.first_revision, told, spec.left)
+    ends = {group: Position(end.term, end.number) for group, end in spec.acknowledged.items()}
+    return LeaseConfirmation(stored.meta.name, spec.revision, spec.first_revision, ends, spec.left)
 
 
 class PromotionLockObject:
@@ -165,22 +172,18 @@
 
     def __init__(self, store: ObjectStore) -> None:
         self._store = store
-        self._path = f"{OBJECTS}{_LOCKS}/{_LOCK_NAME}"
+        self._path = object_path(_LOCKS, _LOCK_NAME)
 
     async def read(self) -> LockRecord | None:
         """The record; raises PlatformError."""
-        answer = await self._store.read(self._path, CALL_SECONDS)
-        return None if answer.status == 404 else _lock_record(answer.body)
+        answer = await self._store.read(self._path, STORE_CALL_SECONDS)
+        return None if answer.status == 404 else _record(decode(answer.body, StoredObject))
 
     async def write(self, record: LockRecord, create: bool) -> LockRecord:
         """Create or replace it; raises PlatformConflict, -Uncertain, -Error."""
         spec = _LockSpec(record.holder, record.attempt, record.released)
-        kept = KeptObject(_LOCKS, _LOCK_NAME, record.revision, create)
-        return _record(await self._store.keep(kept, spec))
-
-
-def _lock_record(body: bytes) -> LockRecord:
-    return _record(decode(body, StoredObject))
+        version = ObjectVersion(_LOCKS, _LOCK_NAME, record.revision, is_new=create)
+        return _record(await self._store.write(version, spec))
 
 
 def _record(stored: StoredObject) -> LockRecord:
@@ -208,8 +211,8 @@
     async def write(self, member: ProxyMember) -> bool:
         """Write a proxy's object; whether it was not there. Raises PlatformError."""
         spec = _MemberSpec(member.zone, member.host, member.port, member.capacity)
-        return await self._store.create_or_put(_MEMBERS, member.name, spec)
+        return await self._store.create_or_overwrite(_MEMBERS, member.name, spec)
 
     async def remove(self, name: str) -> None:
         """Delete a proxy's object; raises PlatformError."""
-        await self._store.change("DELETE", f"{OBJECTS}{_MEMBERS}/{quote(name)}", b"")
+        await self._store.change("DELETE", object_path(_MEMBERS, name), b"")
--- a/src/orchidwind/platform/http_call.py
+++ b/src/orchidwind/platform/http_call.py
@@ -21,16 +21,12 @@
 )
 from tornado.iostream import IOStream, StreamClosedError
 
+from orchidwind.promoted.core.call_limits import ARRIVING_SECONDS, LONGEST_ANSWER_SECONDS
 from orchidwind.shared.core.errors import OrchidwindError
 from orchidwind.shared.sockets import client_socket
 
 # Chosen: 64 times the longest object of the first users' store, so no listing of it is cut.
 _MAXIMUM_BODY_BYTES = 64 * 1024 * 1024
-# An answer that is arriving is waited for until nothing came for so long. A window of 64 KB takes
-# 0.1 s on a link of 5 Mbit/s, and a lost packet some tenths more.
-ARRIVING_SECONDS = 1.0
-# An answer of 1 MB, the longest object of the first users' store, takes 8 s at 1 Mbit/s.
-LONGEST_ANSWER_SECONDS = 10.0
 
 
 class HttpCallFailed(OrchidwindError):
--- a/src/orchidwind/platform/main.py
+++ b/src/orchidwind/platform/main.py
@@ -31,7 +31,8 @@
     PlatformSettings,
     load_platform_settings,
 )
-from orchidwind.platform.store import MILLISECONDS, ObjectStore, WatchedKind
+from orchidwind.platform.store import ObjectStore, WatchedKind
+from orchidwind.platform.stored_objects import MILLISECONDS
 from orchidwind.promoted.core.homes import ProxyMember
 from orchidwind.promoted.metrics import ProxyMetrics
 from orchidwind.promoted.peers.peer_streams import PeerListener, PeerStreamConnector
--- a/src/orchidwind/platform/promotions.py
+++ b/src/orchidwind/platform/promotions.py
@@ -5,13 +5,13 @@
 import msgspec
 
 from orchidwind.platform.http_call import HttpCallFailed, HttpRequest, http_call
+from orchidwind.promoted.core.call_limits import PROMOTION_CALL_SECONDS
 from orchidwind.promoted.core.failover_steps import PromotionAnswer
 from orchidwind.shared.silence import ConnectionKind, OnSilent, SilentConnection, log_silent
 
 _PATH = "/promotions"
 _HOLDER = "Duty-Holder"
 _TOKEN = "Fencing-Token"
-_LONGEST_CALL_SECONDS = 1.0
 
 
 class PromotionCall:
@@ -32,7 +32,7 @@
         headers = {_HOLDER: self._node, _TOKEN: str(token)}
         request = HttpRequest(self._address, "POST", _PATH, body, headers)
         try:
-            answer = await http_call(request, min(seconds, _LONGEST_CALL_SECONDS))
+            answer = await http_call(request, min(seconds, PROMOTION_CALL_SECONDS))
         except HttpCallFailed as error:
             if error.silent_for is not None:
                 self._on_silent(
--- a/src/orchidwind/platform/published.py
+++ b/src/orchidwind/platform/published.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from orchidwind.platform.store import MILLISECONDS, StoredObject, decode
+from orchidwind.platform.stored_objects import MILLISECONDS, StoredObject, decode
 from orchidwind.promoted.core.configuration import (
     DatabaseRoute,
     DirectoryEntry,
--- a/src/orchidwind/platform/store.py
+++ b/src/orchidwind/platform/store.py
@@ -1,19 +1,35 @@
-"""The platform's object store: calls, objects, and kinds of objects that can be followed.
+"""Calls to the platform's object store, and kinds of objects that can be followed.
 
-Source: the users' page PROTOCOL.md, "The platform's metadata store".
+For: the adapters of this folder (`coordination`, `published`), which know what the objects hold.
+Owns nothing between two calls: each has a connection of its own. Relies on `http_call` and on
+`stored_objects` for the forms. It repeats no call; how long one may take is told by its caller or
+by `promoted.core.call_limits`. Outcomes are the errors of `shared.core.errors`: PlatformConflict,
+PlatformMissing, PlatformUncertain (it may have been done), PlatformError (it was not done).
 """
 
 from __future__ import annotations
 
 import logging
 from collections.abc import Callable, Sequence
-from dataclasses import dataclass
-from typing import Any, Generic, Protocol, TypeVar
+from typing import Generic, Protocol, TypeVar
 from urllib.parse import quote
 
 import msgspec
 
 from orchidwind.platform.http_call import HttpAnswer, HttpCallFailed, HttpRequest, http_call
+from orchidwind.platform.stored_objects import (
+    MILLISECONDS,
+    ObjectEvents,
+    ObjectPage,
+    ObjectVersion,
+    StoredObject,
+    decode,
+    encode_object,
+    kind_of,
+    kind_path,
+    object_path,
+)
+from orchidwind.promoted.core.call_limits import STORE_CALL_SECONDS
 from orchidwind.promoted.ports import Changes, Listing
 from orchidwind.shared.core.errors import (
     PlatformConflict,
@@ -25,59 +41,10 @@
 from orchidwind.shared.logs import log_event
 from orchidwind.shared.silence import ConnectionKind, OnSilent, SilentConnection, log_silent
 
-# A call that changes or reads one object: the store answers in 4 ms, or in 0.4 s slowed a
-# hundredfold.
-CALL_SECONDS = 1.5
-OBJECTS = "/orchidwind/objects/"
-_OK = (200, 201)
-MILLISECONDS = 1000.0
+_WRITTEN = (200, 201)
 
 Item = TypeVar("Item")
 Translated = TypeVar("Translated", covariant=True)
-
-
-class Meta(msgspec.Struct):
-    """What the store keeps of each object."""
-
-    name: str
-    revision: int = 0
-    deleting: bool = False
-
-
-class StoredObject(msgspec.Struct):
-    """One object."""
-
-    meta: Meta
-    spec: msgspec.Raw = msgspec.Raw(b"null")
-
-
-class _ObjectList(msgspec.Struct):
-    items: list[StoredObject] = []
-    has_more: bool = False
-    at: int = 0
-
-
-class _Event(msgspec.Struct):
-    object: StoredObject
-    gone: bool = False
-
-
-class _EventList(msgspec.Struct):
-    events: list[_Event] = []
-    at: int = 0
-
-
-Spec = TypeVar("Spec")
-
-
-def decode(body: bytes, form: type[Spec]) -> Spec:
-    """What a body holds; raises PlatformError where it is not as described."""
-    try:
-        return msgspec.json.decode(body, type=form)
-    except msgspec.DecodeError as error:
-        raise PlatformError(f"an answer of the store is not as described: {error}") from error
-
-
 OnCall = Callable[[str, str], None]
 OnArrival = Callable[[], None]
 
@@ -94,12 +61,12 @@
         self._on_silent = on_silent
 
     def _note(self, method: str, path: str) -> None:
-        self._on_call(method, _kind(path))
+        self._on_call(method, kind_of(path))
 
     def _note_failed(self, method: str, path: str, error: HttpCallFailed, decision: str) -> None:
         """A call ended without an answer; one whose time passed was on a silent connection."""
         if error.silent_for is not None:
-            to = f"store/{method}/{_kind(path)}"
+            to = f"store/{method}/{kind_of(path)}"
             self._on_silent(
                 SilentConnection(
                     ConnectionKind.STORE, to, error.open_for, error.silent_for, 1, decision
@@ -130,7 +97,9 @@
         """A call that changes an object; raises PlatformConflict, -Uncertain, -Error."""
         self._note(method, path)
         try:
-            answer = await http_call(HttpRequest(self._address, method, path, body), CALL_SECONDS)
+            answer = await http_call(
+                HttpRequest(self._address, method, path, body), STORE_CALL_SECONDS
+            )
         except HttpCallFailed as error:
             self._note_failed(method, path, error, "it may have been done")
             if error.sent:
@@ -140,55 +109,47 @@
             raise PlatformConflict("the object has changed", held=answer.body)
         if answer.status == 404:
             raise PlatformMissing("the object is not there")
-        if answer.status not in _OK:
+        if answer.status not in _WRITTEN:
             raise PlatformError(f"the store answers {answer.status}")
         return answer
 
-    async def keep(self, kept: KeptObject, spec: msgspec.Struct) -> StoredObject:
-        """Create or replace an object by compare-and-put; raises as `change`."""
-        meta: dict[str, Any] = {"name": kept.name, "finalizers": []}
-        if not kept.create:
-            meta["revision"] = kept.revision
-        body = msgspec.json.encode({"meta": meta, "spec": spec})
-        path = OBJECTS + kept.kind
-        if kept.create:
-            answer = await self.change("POST", path, body)
+    async def write(self, version: ObjectVersion, spec: msgspec.Struct) -> StoredObject:
+        """Create an object, or replace it unless it has changed; raises as `change`."""
+        if version.is_new:
+            body = encode_object(version.name, spec)
+            answer = await self.change("POST", kind_path(version.kind), body)
         else:
-            answer = await self.change("PUT", f"{path}/{quote(kept.name)}", body)
+            body = encode_object(version.name, spec, version.revision)
+            answer = await self.change("PUT", object_path(version.kind, version.name), body)
         return decode(answer.body, StoredObject)
 
-    async def put_anyway(self, kind: str, name: str, spec: msgspec.Struct) -> StoredObject:
-        """Write an object whatever its revision, or create it; raises as `change`."""
-        body = msgspec.json.encode({"meta": {"name": name, "finalizers": []}, "spec": spec})
-        path = OBJECTS + kind
+    async def overwrite_or_create(self, kind: str, name: str, spec: msgspec.Struct) -> StoredObject:
+        """Write an object that is expected to be there, whatever its revision.
+
+        One call where it is there, two where it has to be created; raises as `change`.
+        """
+        body = encode_object(name, spec)
         try:
-            answer = await self.change("PUT", f"{path}/{quote(name)}", body)
+            answer = await self.change("PUT", object_path(kind, name), body)
         except PlatformMissing:
-            answer = await self.change("POST", path, body)
+            answer = await self.change("POST", kind_path(kind), body)
         return decode(answer.body, StoredObject)
 
-    async def create_or_put(self, kind: str, name: str, spec: msgspec.Struct) -> bool:
-        """Create an object, or write it where another is there; whether it was created.
+    async def create_or_overwrite(self, kind: str, name: str, spec: msgspec.Struct) -> bool:
+        """Write an object that is expected to be new; whether it was created.
 
         One call where it is new or holds the same already; raises as `change`.
         """
-        body = msgspec.json.encode({"meta": {"name": name, "finalizers": []}, "spec": spec})
-        path = OBJECTS + kind
+        body = encode_object(name, spec)
         try:
-            await self.change("POST", path, body)
+            await self.change("POST", kind_path(kind), body)
         except PlatformConflict as conflict:
             if not _holds(conflict.held, spec):
-                await self.change("PUT", f"{path}/{quote(name)}", body)
+                await self.change("PUT", object_path(kind, name), body)
             return False
         return True
 
 
-def _kind(path: str) -> str:
-    """The kind of object that a path names."""
-    kind, _, _ = path.removeprefix(OBJECTS).partition("?")
-    return kind.partition("/")[0]
-
-
 def _holds(body: bytes, spec: msgspec.Struct) -> bool:
     """Whether an object that the store sent back holds just this."""
     try:
@@ -199,34 +160,27 @@
         return False
 
 
-@dataclass(frozen=True, slots=True)
-class KeptObject:
-    """An object of the product's own, to be created, or replaced at a revision."""
-
-    kind: str
-    name: str
-    revision: int
-    create: bool
-
-
 async def read_all(
-    store: ObjectStore, kind_path: str, limit: float, on_arrival: OnArrival | None = None
+    store: ObjectStore, kind: str, limit: float, on_arrival: OnArrival | None = None
 ) -> Listing[StoredObject]:
-    """Read all objects of a kind, page by page, each in `limit` seconds; raises PlatformError."""
+    """Read all objects of a kind, page by page, each in `limit` seconds; raises PlatformError.
+
+    The listing's revision is that of its first page: what changed later may or may not be in it.
+    """
     items: list[StoredObject] = []
-    after = ""
-    first_revision = 0
+    path = kind_path(kind)
+    first_revision: int | None = None
     while True:
-        path = f"{kind_path}?after={quote(after)}" if after else kind_path
         answer = await store.read(path, limit, on_arrival)
         if answer.status == 404:
             raise PlatformError("the store does not know the kind")
-        page = decode(answer.body, _ObjectList)
-        first_revision = page.at if not after else min(first_revision, page.at)
+        page = decode(answer.body, ObjectPage)
+        if first_revision is None or page.revision < first_revision:
+            first_revision = page.revision
         items.extend(page.items)
         if not page.has_more or not page.items:
             return Listing(tuple(items), first_revision)
-        after = page.items[-1].meta.name
+        path = f"{kind_path(kind)}?after={quote(page.items[-1].meta.name)}"
 
 
 class Translation(Protocol[Translated]):
@@ -244,11 +198,11 @@
     def __init__(self, store: ObjectStore, translation: Translation[Item]) -> None:
         self._store = store
         self._translation = translation
-        self._path = OBJECTS + translation.kind
+        self._path = kind_path(translation.kind)
 
     async def list(self, limit: float, on_arrival: OnArrival) -> Listing[Item]:
         """Read all objects; raises PlatformError."""
-        listing = await read_all(self._store, self._path, limit, on_arrival)
+        listing = await read_all(self._store, self._translation.kind, limit, on_arrival)
         return Listing(self._items(listing.items), listing.revision)
 
     async def watch(
@@ -260,11 +214,11 @@
         answer = await self._store.read(path, limit, on_arrival)
         if answer.status == 404:
             raise PlatformVersionGone("the store does not know the kind")
-        events = decode(answer.body, _EventList)
-        latest = {event.object.meta.name: event for event in events.events}
+        answered = decode(answer.body, ObjectEvents)
+        latest = {event.object.meta.name: event for event in answered.events}
         changed = [event.object for event in latest.values() if not event.gone]
         gone = tuple(name for name, event in latest.items() if event.gone)
-        return Changes(self._items(changed), gone, events.at)
+        return Changes(self._items(changed), gone, answered.revision)
 
     def _items(self, objects: Sequence[StoredObject]) -> tuple[Item, ...]:
         found = (self._item(stored) for stored in objects)
--- a/src/orchidwind_bench/promoted/simulation/store.py
+++ b/src/orchidwind_bench/promoted/simulation/store.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from itertools import count
 
-from orchidwind.platform.http_call import ARRIVING_SECONDS
+from orchidwind.promoted.core.call_limits import ARRIVING_SECONDS
 from orchidwind.promoted.core.configuration import (
     DatabaseRoute,
     DirectoryEntry,
