--- a/src/orchidwind/platform/callers.py
+++ b/src/orchidwind/platform/callers.py
@@ -7,7 +7,7 @@
 from tornado.iostream import IOStream, StreamClosedError
 from tornado.tcpserver import TCPServer
 
-from orchidwind.platform import wire
+from orchidwind.platform import caller_lines, line_format
 from orchidwind.promoted.callers.session_executor import SessionExecutor
 from orchidwind.promoted.callers.session_registry import SessionRegistry
 from orchidwind.promoted.core.call_limits import FIRST_CONFIGURATION_SECONDS
@@ -54,7 +54,7 @@
     def __init__(self, stream: IOStream, node: ProxyRuntime) -> None:
         self._stream = stream
         self._node = node
-        self._lines = wire.LineReader()
+        self._lines = line_format.LineReader()
         self._executor: SessionExecutor | None = None
         self._asked = False
         stream.set_close_callback(self._on_closed)
@@ -88,22 +88,22 @@
                 return
             while await self._answer_next():
                 pass
-        except wire.MessageTooLarge:
-            await self._stream.write(wire.error_line(_TOO_LARGE))
-        except wire.WireError:
-            await self._stream.write(wire.error_line(_MALFORMED))
+        except line_format.MessageTooLarge:
+            await self._stream.write(caller_lines.error_line(_TOO_LARGE))
+        except line_format.WireError:
+            await self._stream.write(caller_lines.error_line(_MALFORMED))
 
-    async def _next_message(self) -> wire.CallerMessage:
+    async def _next_message(self) -> caller_lines.CallerMessage:
         while (line := self._lines.next_line()) is None:
             self._asked = False
             self._lines.feed(await self._stream.read_bytes(_READ_BYTES, partial=True))
         self._asked = True
-        return wire.parse_caller_line(line)
+        return caller_lines.parse_caller_line(line)
 
     async def _start(self) -> bool:
         message = await self._next_message()
-        if not isinstance(message, wire.Startup):
-            raise wire.WireError("a session begins with its database")
+        if not isinstance(message, caller_lines.Startup):
+            raise line_format.WireError("a session begins with its database")
         error = await self._refusal(message.database)
         if error is not None:
             held = self._node.configuration
@@ -114,10 +114,10 @@
                 configuration=held.version if held else 0,
                 configuration_age_ms=self._node.views.configuration_age_ms,
             )
-            await self._stream.write(wire.error_line(error))
+            await self._stream.write(caller_lines.error_line(error))
             return False
         self._executor = SessionExecutor(self._node, message.database)
-        await self._stream.write(wire.ready_line(TransactionState.IDLE))
+        await self._stream.write(caller_lines.ready_line(TransactionState.IDLE))
         return True
 
     async def _refusal(self, database: str) -> RequestError | None:
@@ -129,14 +129,14 @@
 
     async def _answer_next(self) -> bool:
         message = await self._next_message()
-        if isinstance(message, wire.Terminate):
+        if isinstance(message, caller_lines.Terminate):
             return False
         if not isinstance(message, Command) or self._executor is None:
-            raise wire.WireError("a session begins once")
+            raise line_format.WireError("a session begins once")
         executor = self._executor
         try:
-            answer = wire.result_lines(await executor.execute(message))
+            answer = caller_lines.result_lines(await executor.execute(message))
         except RequestError as error:
-            answer = wire.error_line(error)
-        await self._stream.write(answer + wire.ready_line(executor.state))
+            answer = caller_lines.error_line(error)
+        await self._stream.write(answer + caller_lines.ready_line(executor.state))
         return True
--- a/src/orchidwind/platform/instances.py
+++ b/src/orchidwind/platform/instances.py
@@ -8,7 +8,7 @@
 
 from tornado.iostream import IOStream, StreamClosedError
 
-from orchidwind.platform import wire
+from orchidwind.platform import instance_lines, line_format
 from orchidwind.promoted.core.commands import InstanceMessage, InstanceStatus, Reply, ReplyCode
 from orchidwind.promoted.core.configuration import DirectoryEntry
 from orchidwind.promoted.group.connections import CONNECTION_LIMIT_MET, OTHER_INSTANCE
@@ -27,8 +27,8 @@
         self._stream = stream
         self._instance = instance
         self._on_lost = on_lost
-        self._lines = wire.LineReader()
-        self._replies = wire.ReplyReader()
+        self._lines = line_format.LineReader()
+        self._replies = instance_lines.ReplyReader()
         self._pending: deque[asyncio.Future[Reply]] = deque()
         self._reader: asyncio.Task[None] | None = None
         self._lost = False
@@ -37,7 +37,7 @@
     async def start(self, group: str) -> None:
         """Name the instance that is wanted; raises BackendRefused, BackendConnectionLost."""
         self._reader = asyncio.get_running_loop().create_task(self._read())
-        waiting = self._send(wire.startup_line(group, self._instance), 1)
+        waiting = self._send(instance_lines.startup_line(group, self._instance), 1)
         reply = await waiting[0]
         self._started = True
         if reply.code is not ReplyCode.DONE:
@@ -55,7 +55,7 @@
 
     async def exchange(self, messages: tuple[InstanceMessage, ...]) -> tuple[Reply, ...]:
         """Send messages and wait for all replies; raises BackendConnectionLost."""
-        data = b"".join(wire.message_line(message) for message in messages)
+        data = b"".join(instance_lines.message_line(message) for message in messages)
         waiting = self._send(data, len(messages))
         return tuple([await item for item in waiting])
 
@@ -65,13 +65,13 @@
                 data = await self._stream.read_bytes(_READ_BYTES, partial=True)
                 self._lines.feed(data)
                 self._take_lines()
-        except (StreamClosedError, wire.WireError) as error:
+        except (StreamClosedError, line_format.WireError) as error:
             self._fail(str(error) or "closed")
 
     def _take_lines(self) -> None:
         while (line := self._lines.next_line()) is not None:
             if not self._pending:
-                raise wire.WireError("an instance spoke unasked")
+                raise line_format.WireError("an instance spoke unasked")
             reply = self._replies.take(line) or self._refused_start(line)
             if reply is not None:
                 waiting = self._pending.popleft()
@@ -98,27 +98,27 @@
 
     async def status(self) -> InstanceStatus:
         """Ask for the status."""
-        return await self._control("STATUS")
+        return await self._control(instance_lines.status_line())
 
     async def fence(self, term: int) -> InstanceStatus:
         """Keep the instance from receiving of primaries below `term`."""
-        return await self._control(f"PAUSE {term}")
+        return await self._control(instance_lines.fence_line(term))
 
     async def unfence(self) -> InstanceStatus:
         """Let the instance receive again."""
-        return await self._control("RESUME")
+        return await self._control(instance_lines.unfence_line())
 
     async def demote(self, term: int) -> InstanceStatus:
         """Turn a primary of a lower term into a replica."""
-        return await self._control(f"DEMOTE {term}")
+        return await self._control(instance_lines.demote_line(term))
 
-    async def _control(self, text: str) -> InstanceStatus:
-        reply = await self._send(wire.control_line(text), 1)[0]
+    async def _control(self, line: bytes) -> InstanceStatus:
+        reply = await self._send(line, 1)[0]
         if reply.code is not ReplyCode.DONE or not reply.rows:
             raise _refusal(reply)
         try:
-            return wire.parse_status(self._instance, reply.rows[0])
-        except wire.WireError as error:
+            return instance_lines.parse_status(self._instance, reply.rows[0])
+        except line_format.WireError as error:
             raise BackendConnectionLost(str(error), sent=True) from error
 
     def close(self) -> None:
--- a/tests/promoted/test_half_open_callers.py
+++ b/tests/promoted/test_half_open_callers.py
@@ -5,7 +5,7 @@
 from test_platform_node import SERVICE, LineClient, with_system
 from test_silent_edge import Relay
 
-from orchidwind.platform.wire import MAXIMUM_MESSAGE_BYTES
+from orchidwind.platform.line_format import MAXIMUM_MESSAGE_BYTES
 
 IDLE_MS = 300
 # Beyond the rest that a transaction is allowed; for a machine that does other work.
