--- a/src/orchidwind/commands/main.py
+++ b/src/orchidwind/commands/main.py
@@ -72,7 +72,7 @@
     """
     if file.suffix == ".json":
         loaded = load_platform_settings(file)
-        print(f"{file}: ok, node {loaded.node_name} in {loaded.zone}")
+        print(f"{file}: ok, node {loaded.proxy_name} in {loaded.zone}")
         return
     content = operations.load(file)
     print(f"{file}: ok, {len(content.databases)} databases in {len(content.zones)} zones")
--- a/src/orchidwind/platform/callers.py
+++ b/src/orchidwind/platform/callers.py
@@ -1,4 +1,9 @@
-"""Callers' connections: the line protocol on a socket, in front of a `SessionExecutor`."""
+"""Callers' connections: the line protocol on a socket, in front of a `SessionExecutor`.
+
+For: `main`, which listens. Owns the callers' sockets, and that a caller's next message is read
+only after the answer to the last one has left. Relies on `SessionExecutor` for every command and on
+`caller_lines` for the words.
+"""
 
 from __future__ import annotations
 
@@ -9,7 +14,6 @@
 
 from orchidwind.platform import caller_lines, line_format
 from orchidwind.promoted.callers.session_executor import SessionExecutor
-from orchidwind.promoted.callers.session_registry import SessionRegistry
 from orchidwind.promoted.core.call_limits import FIRST_CONFIGURATION_SECONDS
 from orchidwind.promoted.core.commands import Command, TransactionState
 from orchidwind.promoted.proxy_runtime import ProxyRuntime
@@ -17,6 +21,7 @@
 from orchidwind.shared.logs import log_event
 from orchidwind.shared.sockets import watchful
 
+# One read of a socket, bytes. Chosen: a window of TCP; longer messages take several reads.
 _READ_BYTES = 65536
 _MALFORMED = RequestError(ErrorKind.PROTOCOL_VIOLATION, "the message is not of this protocol")
 _TOO_LARGE = RequestError(ErrorKind.MESSAGE_TOO_LARGE, "the message is too long")
@@ -25,44 +30,45 @@
 class CallerListener(TCPServer):
     """Accepts callers."""
 
-    def __init__(self, node: ProxyRuntime, registry: SessionRegistry) -> None:
+    def __init__(self, proxy: ProxyRuntime) -> None:
         super().__init__()
-        self._node = node
-        self._registry = registry
+        self._proxy = proxy
+        self._registry = proxy.registry
 
     async def handle_stream(self, stream: IOStream, address: tuple[str, int]) -> None:
         """Serve one caller to its end."""
         watchful(stream.socket)
-        connection = LineCaller(stream, self._node)
+        connection = LineCaller(stream, self._proxy)
         self._registry.sessions.add(connection)
-        self._node.metrics.sessions.set(len(self._registry.sessions))
+        self._proxy.metrics.sessions.set(len(self._registry.sessions))
         try:
             await connection.serve()
         except StreamClosedError:
+            # The usual end of a session: the caller closed its connection.
             pass
         except Exception as error:  # a fault of this program ends one session, not all
             log_event("session_failed_unexpectedly", level=logging.ERROR, reason=repr(error))
         finally:
             self._registry.sessions.discard(connection)
-            self._node.metrics.sessions.set(len(self._registry.sessions))
+            self._proxy.metrics.sessions.set(len(self._registry.sessions))
             connection.close()
 
 
 class LineCaller:
     """One caller's connection."""
 
-    def __init__(self, stream: IOStream, node: ProxyRuntime) -> None:
+    def __init__(self, stream: IOStream, proxy: ProxyRuntime) -> None:
         self._stream = stream
-        self._node = node
+        self._proxy = proxy
         self._lines = line_format.LineReader()
         self._executor: SessionExecutor | None = None
-        self._asked = False
+        self._busy = False
         stream.set_close_callback(self._on_closed)
 
     @property
     def resting(self) -> bool:
-        """Whether nothing is asked."""
-        return not self._asked
+        """Whether the caller waits for no answer."""
+        return not self._busy
 
     @property
     def in_transaction(self) -> bool:
@@ -95,9 +101,9 @@
 
     async def _next_message(self) -> caller_lines.CallerMessage:
         while (line := self._lines.next_line()) is None:
-            self._asked = False
+            self._busy = False
             self._lines.feed(await self._stream.read_bytes(_READ_BYTES, partial=True))
-        self._asked = True
+        self._busy = True
         return caller_lines.parse_caller_line(line)
 
     async def _start(self) -> bool:
@@ -106,24 +112,24 @@
             raise line_format.WireError("a session begins with its database")
         error = await self._refusal(message.database)
         if error is not None:
-            held = self._node.configuration
+            configuration = self._proxy.configuration
             log_event(
                 "session_refused",
                 database=message.database,
                 reason=error.kind.value,
-                configuration=held.version if held else 0,
-                configuration_age_ms=self._node.views.configuration_age_ms,
+                configuration=configuration.version if configuration else 0,
+                configuration_age_ms=self._proxy.views.configuration_age_ms,
             )
             await self._stream.write(caller_lines.error_line(error))
             return False
-        self._executor = SessionExecutor(self._node, message.database)
+        self._executor = SessionExecutor(self._proxy, message.database)
         await self._stream.write(caller_lines.ready_line(TransactionState.IDLE))
         return True
 
     async def _refusal(self, database: str) -> RequestError | None:
-        if not await self._node.wait_prepared(FIRST_CONFIGURATION_SECONDS):
+        if not await self._proxy.wait_prepared(FIRST_CONFIGURATION_SECONDS):
             return RequestError(ErrorKind.NO_HOME, "no configuration is known yet")
-        if self._node.database(database) is None:
+        if self._proxy.database(database) is None:
             return RequestError(ErrorKind.UNKNOWN_DATABASE, database)
         return None
 
--- a/src/orchidwind/platform/coordination.py
+++ b/src/orchidwind/platform/coordination.py
@@ -140,7 +140,7 @@
     async def confirm(self, confirmation: LeaseConfirmation) -> int:
         """Write the proxy's object, whether or not it is there; raises PlatformError."""
         spec = _lease_spec(confirmation)
-        written = await self._store.overwrite_or_create(_LEASES, confirmation.node, spec)
+        written = await self._store.overwrite_or_create(_LEASES, confirmation.proxy, spec)
         return written.meta.revision
 
     async def confirmations(self) -> tuple[LeaseConfirmation, ...]:
@@ -150,7 +150,7 @@
 
     async def leave(self, confirmation: LeaseConfirmation, revision: int) -> None:
         """Write over the proxy's object at a revision; raises PlatformConflict, PlatformError."""
-        version = ObjectVersion(_LEASES, confirmation.node, revision, is_new=False)
+        version = ObjectVersion(_LEASES, confirmation.proxy, revision, is_new=False)
         await self._store.write(version, _lease_spec(confirmation))
 
 
--- a/src/orchidwind/platform/instances.py
+++ b/src/orchidwind/platform/instances.py
@@ -1,4 +1,9 @@
-"""Connections to instances: the line protocol on a socket, behind the port `InstanceLink`."""
+"""Connections to instances: the line protocol on a socket, behind the port `InstanceLink`.
+
+For: `promoted.group`, which decides what is sent, for how long and to whom. Owns one socket a link
+and the order of its replies: the protocol has no numbers, so replies come in the order of the
+messages. Relies on `instance_lines` for the words. It has no time limit and repeats nothing.
+"""
 
 from __future__ import annotations
 
@@ -15,7 +20,9 @@
 from orchidwind.shared.core.errors import BackendConnectionLost, BackendRefused
 from orchidwind.shared.sockets import client_socket
 
+# One read of a socket, bytes. Chosen: a window of TCP; longer replies take several reads.
 _READ_BYTES = 65536
+# SQLSTATE of a refused connection, as `BackendRefused` carries it.
 _OTHER_REFUSAL = "08004"
 _BUSY = "53000"
 
--- a/src/orchidwind/platform/promotions.py
+++ b/src/orchidwind/platform/promotions.py
@@ -15,21 +15,21 @@
 
 
 class PromotionCall:
-    """Sends promotions in the name of this node."""
+    """Sends promotions in the name of this proxy."""
 
     def __init__(
-        self, address: tuple[str, int], node: str, on_silent: OnSilent = log_silent
+        self, address: tuple[str, int], proxy: str, on_silent: OnSilent = log_silent
     ) -> None:
         self._on_silent = on_silent
         self._address = address
-        self._node = node
+        self._proxy = proxy
 
     async def promote(
         self, group: str, instance: str, token: int, seconds: float
     ) -> PromotionAnswer:
         """Send one promotion; its connection is ended when its time has passed."""
         body = msgspec.json.encode({"service": group, "id": instance})
-        headers = {_HOLDER: self._node, _TOKEN: str(token)}
+        headers = {_HOLDER: self._proxy, _TOKEN: str(token)}
         request = HttpRequest(self._address, "POST", _PATH, body, headers)
         try:
             answer = await http_call(request, min(seconds, PROMOTION_CALL_SECONDS))
--- a/src/orchidwind/platform/published.py
+++ b/src/orchidwind/platform/published.py
@@ -1,5 +1,8 @@
 """What instances and operators publish in the store: the directory and the configuration.
 
+For: the watched collections of these kinds. Owns the names of their fields, which are decoded here
+into the types of `promoted.core.configuration`; unknown fields are passed over. No I/O.
+
 Source: the users' page PROTOCOL.md, "Service discovery" and "The operator's API".
 """
 
@@ -19,6 +22,7 @@
 _INSTANCES = "servers"
 _CONFIGURATION = "config"
 _CONFIGURATION_NAME = "main"
+# What holds where the configuration names no value, milliseconds; the users' page sets them.
 _DEFAULT_STALENESS_MS = 1000.0
 _DEFAULT_TIMEOUT_MS = 1000.0
 _DEFAULT_TARGET_MS = 250.0
@@ -26,38 +30,46 @@
 
 
 class _InstanceSpec(msgspec.Struct):
-    service: str
+    # A service of the platform is a database group here.
+    group: str = msgspec.field(name="service")
+    # HOST:PORT.
     address: str
     zone: str = ""
     slots: int = 1
     state: str = "ready"
-    db_role: str = "replica"
+    # What the instance says of itself: it may be out of date, and two may say "primary".
+    claimed_role: str = msgspec.field(default="replica", name="db_role")
 
 
 class _RouteSpec(msgspec.Struct):
-    hostname: str
-    service: str
-    route_type: str = "primary"
-    timeout_ms: float | None = None
+    # No name of a host: what a caller names when it connects.
+    database: str = msgspec.field(name="hostname")
+    group: str = msgspec.field(name="service")
+    # Not where requests go, but how fresh reads must be.
+    consistency: str = msgspec.field(default="primary", name="route_type")
+    statement_timeout_ms: float | None = msgspec.field(default=None, name="timeout_ms")
     target_latency_ms: float | None = None
-    max_staleness_ms: float | None = None
+    staleness_ms: float | None = msgspec.field(default=None, name="max_staleness_ms")
+    # 0 is the most important.
     priority: int = 0
 
 
-class _ServiceSpec(msgspec.Struct):
+class _GroupSpec(msgspec.Struct):
     name: str
-    max_connections: int = 20
-    sync_replicas: int = 1
+    # Of each instance, over all proxies.
+    maximum_connections: int = msgspec.field(default=20, name="max_connections")
+    # How many replicas have received a commit before its primary answers.
+    synchronous_replicas: int = msgspec.field(default=1, name="sync_replicas")
 
 
 class _LimitsSpec(msgspec.Struct):
-    tx_idle_ms: float | None = None
+    transaction_idle_ms: float | None = msgspec.field(default=None, name="tx_idle_ms")
 
 
 class _ConfigurationSpec(msgspec.Struct):
     version: int
-    routes: list[_RouteSpec] = []
-    services: list[_ServiceSpec] = []
+    databases: list[_RouteSpec] = msgspec.field(default_factory=list, name="routes")
+    groups: list[_GroupSpec] = msgspec.field(default_factory=list, name="services")
     limits: _LimitsSpec = msgspec.field(default_factory=_LimitsSpec)
 
 
@@ -72,11 +84,11 @@
         host, _, port = spec.address.rpartition(":")
         return DirectoryEntry(
             instance=stored.meta.name,
-            group=spec.service,
+            group=spec.group,
             host=host,
             port=int(port),
             zone=spec.zone,
-            claims_primary=spec.db_role == "primary",
+            claims_primary=spec.claimed_role == "primary",
             draining=spec.state == "draining",
             slots=spec.slots,
             revision=stored.meta.revision,
@@ -100,12 +112,14 @@
         if stored.meta.name != _CONFIGURATION_NAME:
             return None
         spec = decode(stored.spec, _ConfigurationSpec)
-        databases = {route.hostname: _database(route) for route in spec.routes}
+        databases = {route.database: _database(route) for route in spec.databases}
         groups = {
-            item.name: PromotedGroupSettings(item.name, item.max_connections, item.sync_replicas)
-            for item in spec.services
+            group.name: PromotedGroupSettings(
+                group.name, group.maximum_connections, group.synchronous_replicas
+            )
+            for group in spec.groups
         }
-        idle = _given(spec.limits.tx_idle_ms, _DEFAULT_TRANSACTION_IDLE_MS) / MILLISECONDS
+        idle = _given(spec.limits.transaction_idle_ms, _DEFAULT_TRANSACTION_IDLE_MS) / MILLISECONDS
         return PromotedConfiguration(spec.version, databases, groups, idle)
 
 
@@ -115,11 +129,11 @@
 
 def _database(route: _RouteSpec) -> DatabaseRoute:
     return DatabaseRoute(
-        name=route.hostname,
-        group=route.service,
-        consistency=_CONSISTENCY.get(route.route_type, ReadConsistency.LATEST),
-        staleness=_given(route.max_staleness_ms, _DEFAULT_STALENESS_MS) / MILLISECONDS,
-        statement_timeout=_given(route.timeout_ms, _DEFAULT_TIMEOUT_MS) / MILLISECONDS,
+        name=route.database,
+        group=route.group,
+        consistency=_CONSISTENCY.get(route.consistency, ReadConsistency.LATEST),
+        staleness=_given(route.staleness_ms, _DEFAULT_STALENESS_MS) / MILLISECONDS,
+        statement_timeout=_given(route.statement_timeout_ms, _DEFAULT_TIMEOUT_MS) / MILLISECONDS,
         target_latency=_given(route.target_latency_ms, _DEFAULT_TARGET_MS) / MILLISECONDS,
         priority=route.priority,
     )
--- a/src/orchidwind/platform/settings.py
+++ b/src/orchidwind/platform/settings.py
@@ -1,4 +1,11 @@
-"""The settings file that the platform lays for a process. Source: the users' page DEPLOY.md."""
+"""The settings file that the platform lays for a process.
+
+For: `main`, and `orchidwind check`. Owns the keys of the file: they are decoded here into fields
+that say what they hold. Keys that are not named here are passed over. Times are in milliseconds
+where the field's name ends in `_ms`, else in seconds.
+
+Source: the users' page DEPLOY.md.
+"""
 
 from __future__ import annotations
 
@@ -14,32 +21,34 @@
 
 
 class ListenAddresses(msgspec.Struct, frozen=True):
-    """Where callers, probes and the other proxies come to, as HOST:PORT."""
+    """Where this process listens, as HOST:PORT."""
 
-    front: str
-    ready: str
-    control: str
+    callers: str = msgspec.field(name="front")
+    readiness: str = msgspec.field(name="ready")
+    # Other proxies connect here; nothing controls this process through it.
+    peers: str = msgspec.field(name="control")
 
 
 class MachineLimits(msgspec.Struct, frozen=True):
     """What the machine gives this process: a share of a core that is so many times as fast."""
 
     cpu_share: float = 1.0
-    cpu_cores: float = 1.0
+    # No number of cores: how many times as fast the one core is.
+    core_speed: float = msgspec.field(default=1.0, name="cpu_cores")
 
 
 class Bounds(msgspec.Struct, frozen=True):
-    """Bounds that the platform holds this process to; the defaults are the first users'.
-
-    A configuration is in force `config_apply_ms` after its acknowledgement, and an instance that
-    leaves gets nothing `drain_ms` after its own; a machine whose path to the store has come back
-    is held to both `contact_ms` later.
-    """
+    """Bounds that the platform holds this process to; the defaults are the first users'."""
 
-    grace_s: float = 6.0
-    config_apply_ms: float = 3000.0
-    drain_ms: float = 7000.0
-    contact_ms: float = 4000.0
+    # From SIGTERM to the end of the process, seconds.
+    planned_stop_seconds: float = msgspec.field(default=6.0, name="grace_s")
+    # From the acknowledgement of a configuration until requests are handled by it.
+    configuration_ms: float = msgspec.field(default=3000.0, name="config_apply_ms")
+    # From the acknowledgement that an instance leaves until it gets no more work. This process's
+    # own drain has `planned_stop_seconds`.
+    leaving_instance_ms: float = msgspec.field(default=7000.0, name="drain_ms")
+    # From the return of this machine's path to the store until both of the above hold again.
+    store_contact_ms: float = msgspec.field(default=4000.0, name="contact_ms")
 
 
 class ServiceAddress(msgspec.Struct, frozen=True):
@@ -49,18 +58,20 @@
 
 
 class PlatformSettings(msgspec.Struct, frozen=True):
-    """What this process uses of the file; other fields are passed over."""
+    """What this process uses of the file."""
 
-    node_name: str
-    ip: str
+    proxy_name: str = msgspec.field(name="node_name")
+    host: str = msgspec.field(name="ip")
     zone: str
     listen: ListenAddresses
-    internal_port_range: list[int]
-    platform: ServiceAddress
-    cloud_api: ServiceAddress
+    # The first and the last port that are left free for this project.
+    internal_ports: list[int] = msgspec.field(name="internal_port_range")
+    store: ServiceAddress = msgspec.field(name="platform")
+    promotions: ServiceAddress = msgspec.field(name="cloud_api")
     bounds: Bounds = Bounds()
     limits: MachineLimits = MachineLimits()
-    heartbeat_ms: float = 1200.0
+    # How often an instance renews its entry in the directory.
+    instance_heartbeat_ms: float = msgspec.field(default=1200.0, name="heartbeat_ms")
 
 
 def load_platform_settings(path: Path) -> PlatformSettings:
@@ -75,16 +86,16 @@
 
 def _check(source: str, settings: PlatformSettings) -> None:
     addresses = {
-        "listen.front": settings.listen.front,
-        "listen.ready": settings.listen.ready,
-        "listen.control": settings.listen.control,
-        "platform.address": settings.platform.address,
-        "cloud_api.address": settings.cloud_api.address,
+        "listen.front": settings.listen.callers,
+        "listen.ready": settings.listen.readiness,
+        "listen.control": settings.listen.peers,
+        "platform.address": settings.store.address,
+        "cloud_api.address": settings.promotions.address,
     }
     for key, text in addresses.items():
         try:
             parse_address(text)
         except ValueError as error:
             raise SettingsError(source, key, str(error)) from error
-    if len(settings.internal_port_range) != 2:
+    if len(settings.internal_ports) != 2:
         raise SettingsError(source, "internal_port_range", "must hold the first and the last port")
--- a/src/orchidwind/promoted/group/lease_keeper.py
+++ b/src/orchidwind/promoted/group/lease_keeper.py
@@ -288,7 +288,7 @@
             # All leases have run out when the wait ends, whatever is confirmed.
             log_event("lease_confirmations_not_read", token=token, reason=str(error))
             return None
-        others = [item for item in confirmed if item.node != self._node]
+        others = [item for item in confirmed if item.proxy != self._node]
         waiting = any(item.revision < token and not item.left for item in others)
         return None if waiting else others
 
--- a/src/orchidwind/promoted/peers/peer_network.py
+++ b/src/orchidwind/promoted/peers/peer_network.py
@@ -17,7 +17,7 @@
 
 FORGET_SECONDS = 30.0
 _RETRY_SECONDS = 0.25
-# Others read the members some seconds after this proxy was written; see `NodeBounds.members`.
+# Others read the members some seconds after this proxy was written; see `ProxyBounds.members`.
 _LISTED_AFTER_SECONDS = 10.0
 _LOCK_READER_KEY = "promotion-lock"
 # The store may turn one away and serve the others.
--- a/src/orchidwind/promoted/ports.py
+++ b/src/orchidwind/promoted/ports.py
@@ -113,7 +113,7 @@
     commits. One that has `left` holds no lease any more.
     """
 
-    node: str
+    proxy: str
     revision: int
     first_revision: int = 0
     acknowledged: Mapping[str, Position] = field(default_factory=dict)
@@ -189,8 +189,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class NodePorts:
-    """The adapters that a node is built on."""
+class ProxyPorts:
+    """The adapters that a proxy is built on."""
 
     connector: InstanceConnector
     directory: DirectorySource
--- a/src/orchidwind/promoted/proxy_runtime.py
+++ b/src/orchidwind/promoted/proxy_runtime.py
@@ -25,9 +25,9 @@
 from orchidwind.promoted.metrics import ProxyMetrics
 from orchidwind.promoted.peers.peer_network import PeerNetwork
 from orchidwind.promoted.peers.peer_service import HomePorts, PeerService
-from orchidwind.promoted.ports import NodePorts
+from orchidwind.promoted.ports import ProxyPorts
 from orchidwind.promoted.views.collection_watch import CollectionWatch
-from orchidwind.promoted.views.followed_views import GATHER_MEMBERS_SECONDS, NodeBounds, NodeViews
+from orchidwind.promoted.views.followed_views import GATHER_MEMBERS_SECONDS, ProxyBounds, ProxyViews
 from orchidwind.promoted.views.peer_views import (
     ConfigurationFollower,
     DirectoryFollower,
@@ -48,11 +48,11 @@
     def __init__(
         self,
         own: ProxyMember,
-        ports: NodePorts,
-        bounds: NodeBounds | None = None,
+        ports: ProxyPorts,
+        bounds: ProxyBounds | None = None,
         metrics: ProxyMetrics | None = None,
     ) -> None:
-        self._bounds = bounds or NodeBounds()
+        self._bounds = bounds or ProxyBounds()
         self.name = name = own.name
         self.zone = own.zone
         self.metrics = metrics or ProxyMetrics()
@@ -75,7 +75,7 @@
             self._homes_changed,
             self.metrics.silent,
         )
-        self.views = NodeViews(ports, self._bounds, self.homes, self.metrics, self._spawn)
+        self.views = ProxyViews(ports, self._bounds, self.homes, self.metrics, self._spawn)
         self.leases = LeaseKeeper(
             name, ports.lock_store, ports.leases, self.homes.lock_readers, self._lock.saw
         )
--- a/src/orchidwind/promoted/views/followed_views.py
+++ b/src/orchidwind/promoted/views/followed_views.py
@@ -15,7 +15,7 @@
 from orchidwind.promoted.group.roster_keeper import RosterKeeper
 from orchidwind.promoted.metrics import ProxyMetrics
 from orchidwind.promoted.peers.peer_network import PeerNetwork
-from orchidwind.promoted.ports import NodePorts
+from orchidwind.promoted.ports import ProxyPorts
 from orchidwind.promoted.views.collection_watch import CollectionFollower, CollectionWatch
 from orchidwind.promoted.views.peer_views import (
     CONFIGURATION,
@@ -41,7 +41,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class NodeBounds:
+class ProxyBounds:
     """Times, in seconds, that others hold this proxy to, or that it may count on.
 
     `entry_outlives`: how long a directory entry stays after its last renewal. `configuration` and
@@ -56,13 +56,13 @@
     members: float = 20.0
 
 
-class NodeViews:
+class ProxyViews:
     """The followed views of one proxy; `watches` by their names."""
 
     def __init__(
         self,
-        ports: NodePorts,
-        bounds: NodeBounds,
+        ports: ProxyPorts,
+        bounds: ProxyBounds,
         network: PeerNetwork,
         metrics: ProxyMetrics,
         spawn: Spawn,
--- a/src/orchidwind_bench/promoted/exploration/store.py
+++ b/src/orchidwind_bench/promoted/exploration/store.py
@@ -199,7 +199,7 @@
 
     def confirm(self, confirmation: LeaseConfirmation) -> bool:
         """A proxy registers, or tells that it dropped its lease; whatever it wrote before goes."""
-        self.leases[confirmation.node] = confirmation
+        self.leases[confirmation.proxy] = confirmation
         return True
 
     def write_roster(self, roster: Roster) -> Roster | Conflict:
--- a/src/orchidwind_bench/promoted/simulation/callers.py
+++ b/src/orchidwind_bench/promoted/simulation/callers.py
@@ -10,7 +10,7 @@
 from orchidwind.promoted.core.commands import Command, CommandKind, CommandResult
 from orchidwind.promoted.core.configuration import ReadConsistency
 from orchidwind.promoted.core.homes import ProxyMember
-from orchidwind.promoted.ports import NodePorts
+from orchidwind.promoted.ports import ProxyPorts
 from orchidwind.promoted.proxy_runtime import ProxyRuntime
 from orchidwind.shared.core.errors import ANSWERS, ErrorKind, Ran, RequestError
 from orchidwind_bench.promoted.simulation.connections import SimulatedConnector
@@ -249,8 +249,8 @@
         self.nodes[name] = ProxyRuntime(own, self._ports(name))
         self.nodes[name].start()
 
-    def _ports(self, name: str) -> NodePorts:
-        return NodePorts(
+    def _ports(self, name: str) -> ProxyPorts:
+        return ProxyPorts(
             connector=SimulatedConnector(name, self.group),
             directory=SimulatedDirectory(self.world, name),
             configuration=SimulatedConfiguration(self.world, name),
--- a/src/orchidwind_bench/promoted/simulation/fleet.py
+++ b/src/orchidwind_bench/promoted/simulation/fleet.py
@@ -22,7 +22,7 @@
 )
 from orchidwind.promoted.core.configuration import DirectoryEntry, ReadConsistency
 from orchidwind.promoted.core.failover_steps import PromotionAnswer
-from orchidwind.promoted.ports import NodePorts
+from orchidwind.promoted.ports import ProxyPorts
 from orchidwind.promoted.proxy_runtime import ProxyRuntime
 from orchidwind.shared.core.errors import ANSWERS, ErrorKind, Ran, RequestError
 from orchidwind_bench.promoted.simulation.callers import (
@@ -246,7 +246,7 @@
         self.greatest_ages: dict[str, float] = {}
         self.start_proxies()
 
-    def _ports(self, name: str) -> NodePorts:
+    def _ports(self, name: str) -> ProxyPorts:
         return replace(
             super()._ports(name),
             connector=_FleetConnector(name, self._groups),
