--- a/src/orchidwind/platform/promotions.py
+++ b/src/orchidwind/platform/promotions.py
@@ -5,34 +5,34 @@
 import msgspec
 
 from orchidwind.platform.http_call import HttpCallFailed, HttpRequest, http_call
+from orchidwind.promoted.core.call_limits import PROMOTION_CALL_SECONDS
 from orchidwind.promoted.core.failover_steps import PromotionAnswer
 from orchidwind.shared.silence import ConnectionKind, OnSilent, SilentConnection, log_silent
 
 _PATH = "/promotions"
 _HOLDER = "Duty-Holder"
 _TOKEN = "Fencing-Token"
-_LONGEST_CALL_SECONDS = 1.0
 
 
 class PromotionCall:
-    """Sends promotions in the name of this node."""
+    """Sends promotions in the name of this proxy."""
 
     def __init__(
-        self, address: tuple[str, int], node: str, on_silent: OnSilent = log_silent
+        self, address: tuple[str, int], proxy: str, on_silent: OnSilent = log_silent
     ) -> None:
         self._on_silent = on_silent
         self._address = address
-        self._node = node
+        self._proxy = proxy
 
     async def promote(
         self, group: str, instance: str, token: int, seconds: float
     ) -> PromotionAnswer:
         """Send one promotion; its connection is ended when its time has passed."""
         body = msgspec.json.encode({"service": group, "id": instance})
-        headers = {_HOLDER: self._node, _TOKEN: str(token)}
+        headers = {_HOLDER: self._proxy, _TOKEN: str(token)}
         request = HttpRequest(self._address, "POST", _PATH, body, headers)
         try:
-            answer = await http_call(request, min(seconds, _LONGEST_CALL_SECONDS))
+            answer = await http_call(request, min(seconds, PROMOTION_CALL_SECONDS))
         except HttpCallFailed as error:
             if error.silent_for is not None:
                 self._on_silent(
--- a/src/orchidwind/promoted/group/status_calls.py
+++ b/src/orchidwind/promoted/group/status_calls.py
@@ -76,7 +76,7 @@
         view = self._topology.instances.get(instance)
         unreachable = view is not None and view.unreachable_since is not None
         seconds = HURRIED_SECONDS if hurried and unreachable else ASK_SECONDS
-        if view is not None and view.heard_at == float("-inf"):
+        if view is not None and view.last_answer_at == float("-inf"):
             seconds = FIRST_SECONDS
         try:
             async with asyncio.timeout(seconds):
@@ -187,7 +187,7 @@
                     await self._ask_anew(instance, lambda link: link.status())
                 left = asked_at + RESTING_SILENT_SECONDS - self._loop.time()
                 _, waiting = await asyncio.wait(waiting, timeout=left)
-                silent = [asking[task] for task in waiting]
+                silent = [item for task, item in asking.items() if task in waiting]
         except (BackendRefused, BackendConnectionLost, TimeoutError) as error:
             log_event("silence_not_confirmed", instance=instance, reason=repr(error))
         finally:
