--- a/src/orchidwind/commands/operations.py
+++ b/src/orchidwind/commands/operations.py
@@ -12,7 +12,7 @@
 from orchidwind.elected.network.object_api_client import (
     ConfigurationObject,
     Metadata,
-    PlatformClient,
+    ObjectApiClient,
 )
 from orchidwind.shared.core.errors import PlatformConflict, PlatformError, SettingsError
 
@@ -36,7 +36,7 @@
     write carries an identifier: where its answer is lost, the object is read back, and the
     identifier tells whether the write took effect. Raises PlatformConflict or PlatformError.
     """
-    client = PlatformClient(platform_url)
+    client = ObjectApiClient(platform_url)
     held = await _read(client)
     attempt = uuid.uuid4().hex
     item = ConfigurationObject(
@@ -64,7 +64,7 @@
     )
 
 
-async def _read(client: PlatformClient) -> ConfigurationObject | None:
+async def _read(client: ObjectApiClient) -> ConfigurationObject | None:
     for attempt in range(_ATTEMPTS):
         try:
             return await client.read()
--- a/src/orchidwind/elected/core/classification.py
+++ b/src/orchidwind/elected/core/classification.py
@@ -16,6 +16,7 @@
 
 from orchidwind.elected.core.sql_text import tokenize_statements
 
+# Chosen: texts whose classification is remembered; bounds memory where values stand in the texts.
 CACHED_STATEMENTS = 4096
 
 
@@ -142,7 +143,7 @@
     try:
         statements = tokenize_statements(sql)
     except ValueError:
-        return _WRITE
+        return _WRITE  # the primary takes any statement, and answers with the error of this one
     if not statements:
         return _EMPTY
     if len(statements) == 1:
--- a/src/orchidwind/elected/core/group_view.py
+++ b/src/orchidwind/elected/core/group_view.py
@@ -1,4 +1,8 @@
-"""What a home proxy knows of one database group: the reports of its instances."""
+"""What a home proxy knows of one database group: the reports of its instances.
+
+Owns which instance counts as primary, and how far each replica is behind. Relies on reports that
+`instance_status.py` asks for. Times are in seconds of the home's monotonic clock.
+"""
 
 from __future__ import annotations
 
@@ -8,7 +12,11 @@
 
 from orchidwind.shared.core.positions import ORIGIN, Position
 
+# Chosen: three times the idle interval of status queries (`polling.py`): a replica whose report is
+# older, after two lost queries, gets no reads.
 STALE_AFTER_SECONDS = 6.0
+# Chosen: positions of the log remembered, one for each report that showed a new one; a position
+# before them has no time, and a replica that far behind counts as having no delay.
 _LOG_SAMPLES = 512
 
 
@@ -59,7 +67,7 @@
             self._samples.append((lsn, at))
 
     def reached_at(self, lsn: int) -> float | None:
-        """When the log reached `lsn`, None where that was before the first sample kept."""
+        """When the log reached `lsn`, None where that was before the first sample."""
         found = None
         for sample_lsn, at in reversed(self._samples):
             if sample_lsn < lsn:
@@ -108,7 +116,7 @@
         return None
 
     def replicas(self, now: float) -> list[InstanceReport]:
-        """Replicas that follow the highest term and were heard of lately."""
+        """Replicas that follow the highest term and have reported lately."""
         return [
             report
             for name, report in self.reports.items()
--- a/src/orchidwind/elected/core/ledger.py
+++ b/src/orchidwind/elected/core/ledger.py
@@ -11,6 +11,7 @@
 from orchidwind.elected.core.statements import Statement
 
 LEDGER_TABLE = "orchidwind_request_ledger"
+# SQLSTATE undefined_table: the ledger does not exist yet.
 UNDEFINED_TABLE = "42P01"
 _VALID_IDENTIFIER = re.compile(r"[A-Za-z0-9_.:\-]{1,128}")
 _COMMAND_TAG = re.compile(r"[A-Z0-9 ]{0,64}")
--- a/src/orchidwind/elected/core/polling.py
+++ b/src/orchidwind/elected/core/polling.py
@@ -1,5 +1,7 @@
 """Decides when each instance of a group is asked for its status.
 
+Owns the times of queries; `instance_status.py` sends them. Times are in seconds of its clock.
+
 Idle groups are asked seldom, since this cost is paid for every database. Commits that wait for
 confirmation and reads that wait for a floor ask for a report that leaves after they arrived; one
 round serves all that wait. Rounds are spaced wider the longer the oldest has waited.
@@ -10,18 +12,23 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
+# Chosen: the time between two rounds that somebody waits for is this share of the age of the oldest
+# wait, within the two bounds; so a wait costs queries that grow with the logarithm of its length.
+_GAP_SHARE_OF_AGE = 0.1
 _SHORTEST_GAP_SECONDS = 0.001
 _WIDEST_GAP_SECONDS = 0.025
-_GAP_SHARE_OF_AGE = 0.1
 
 
 @dataclass(frozen=True, slots=True)
 class PollingSettings:
-    """Intervals in seconds: between rounds of an idle group, while no primary is known, and the
-    time after which an instance that has not answered counts as unreachable."""
+    """Intervals between queries to an instance, in seconds."""
 
+    # Measured: once a second, unprepared, they took about the whole control traffic of a node
+    # (docs/DECISIONS.md, "Status queries: prepared, every 2 s while idle").
     idle_interval: float = 2.0
+    # Chosen: while no primary is known. Bounds what the search adds to a failover gap.
     searching_interval: float = 0.05
+    # Chosen: without an answer for this time an instance counts as away; reads run elsewhere.
     timeout: float = 0.4
 
 
@@ -40,7 +47,7 @@
         self._observed = {instance: _Observed() for instance in instances}
 
     def want(self, now: float, oldest: float, instances: Sequence[str] | None = None) -> None:
-        """Somebody needs a report asked for after `now`; `oldest` is when the eldest began."""
+        """Somebody waits for a report asked for after `now`; the first of them since `oldest`."""
         gap = (now - oldest) * _GAP_SHARE_OF_AGE
         gap = min(max(gap, _SHORTEST_GAP_SECONDS), _WIDEST_GAP_SECONDS)
         for instance in instances if instances is not None else self._observed:
--- a/src/orchidwind/elected/core/routing.py
+++ b/src/orchidwind/elected/core/routing.py
@@ -1,4 +1,7 @@
-"""Chooses where a read runs: which replica, after what wait, or the primary."""
+"""Chooses where a read runs: which replica, after what wait, or the primary.
+
+Owns the rule and its costs; relies on the reports in `group_view.py`. `view_waits.py` asks it.
+"""
 
 from __future__ import annotations
 
@@ -11,14 +14,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RoutingSettings:
-    """Bounds of the choice, in seconds.
-
-    `load_cost` is what a fully used pool counts for, `switch_cost` what leaving the instance of the
-    session's last read does: it takes a status round before the read.
-    """
+    """Bounds and costs of the choice, in seconds of expected wait."""
 
+    # Chosen: the default of `replica_wait_ms`; a read that would wait longer runs elsewhere.
     longest_replica_wait: float = 0.1
+    # Chosen: what a pool with one request for each connection counts for.
     load_cost: float = 0.005
+    # Chosen: what it counts to leave the instance of the session's last read, since that takes a
+    # status round first. Without it every third read of an indexed load took such a round.
     switch_cost: float = 0.01
 
 
--- a/src/orchidwind/elected/core/slot_leases.py
+++ b/src/orchidwind/elected/core/slot_leases.py
@@ -17,11 +17,19 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-LEASE_SECONDS = 3.0
+# Chosen: how long connections are lent for. A lender that gets callers of its own waits that long
+# for them, a borrower asks anew that often. What leases gain was measured: docs/DECISIONS.md,
+# "Slots are lent between homes".
+SLOT_LEASE_SECONDS = 3.0
+# Chosen: the lender waits this share of the lease longer. Bounds how much faster its clock may run;
+# without it the homes hold more connections than the database has (a test shows that).
 _CLOCK_MARGIN = 0.2
-_ASK_AGAIN_SECONDS = 0.5
+# Chosen: a lender that had nothing to spare is asked again after this time.
+_ASK_LENDER_AGAIN_SECONDS = 0.5
+# Chosen: one renewal may be lost, and repeated, before the lease ends.
 _RENEW_BEFORE_SECONDS = 1.0
-_KEPT_FOR_ITSELF = 1
+# A home without any connection refuses its callers until the lease ends, which outlasts deadlines.
+_CONNECTIONS_NEVER_LENT = 1
 
 
 @dataclass(frozen=True, slots=True)
@@ -71,7 +79,7 @@
         borrowed = sum(lease.slots for lease in self._borrowed.values())
         if self.base_share == 0:
             return 0
-        return max(self.base_share - lent, _KEPT_FOR_ITSELF) + borrowed
+        return max(self.base_share - lent, _CONNECTIONS_NEVER_LENT) + borrowed
 
     def deadline(self) -> float:
         """When the next lease ends."""
@@ -89,16 +97,16 @@
         self._drop_expired(now)
         former = self._lent.get(borrower)
         former_slots = former.slots if former is not None else 0
-        free = min(spare, self.base_share - self._lent_slots() - _KEPT_FOR_ITSELF)
+        free = min(spare, self.base_share - self._lent_slots() - _CONNECTIONS_NEVER_LENT)
         if self._borrowed:
             free = 0  # lending on what is borrowed would outlive the first lease
         slots = max(min(wanted, free + former_slots), 0)
         self._number += 1
         if slots == 0 or slots < former_slots:
-            return LeaseAnswer(0, self._number, LEASE_SECONDS)
-        bound = now + LEASE_SECONDS * (1 + _CLOCK_MARGIN)
+            return LeaseAnswer(0, self._number, SLOT_LEASE_SECONDS)
+        bound = now + SLOT_LEASE_SECONDS * (1 + _CLOCK_MARGIN)
         self._lent[borrower] = _Lease(slots, self._number, bound)
-        return LeaseAnswer(slots, self._number, LEASE_SECONDS)
+        return LeaseAnswer(slots, self._number, SLOT_LEASE_SECONDS)
 
     def _lent_slots(self) -> int:
         return sum(lease.slots for lease in self._lent.values())
@@ -113,7 +121,7 @@
             held = self._borrowed.get(lender)
             if held is not None and held.expires_at - now > _RENEW_BEFORE_SECONDS:
                 continue
-            if now - self._asked_at.get(lender, float("-inf")) < _ASK_AGAIN_SECONDS:
+            if now - self._asked_at.get(lender, float("-inf")) < _ASK_LENDER_AGAIN_SECONDS:
                 continue
             self._asked_at[lender] = now
             asked.append(AskLease(lender, wanted))
--- a/src/orchidwind/elected/daemon.py
+++ b/src/orchidwind/elected/daemon.py
@@ -13,8 +13,8 @@
 from orchidwind.elected.network.group_runner import GroupRunner
 from orchidwind.elected.network.home_service import HomeService
 from orchidwind.elected.network.link_server import LinkServer
-from orchidwind.elected.network.object_api_client import PlatformClient
-from orchidwind.elected.network.object_api_watch import PlatformWatch
+from orchidwind.elected.network.object_api_client import ObjectApiClient
+from orchidwind.elected.network.object_api_watch import ObjectApiWatch
 from orchidwind.elected.network.operator_http import (
     DatabaseStatus,
     InstanceStatus,
@@ -31,7 +31,11 @@
 from orchidwind.shared.logs import log_event
 from orchidwind.shared.settings import ProxySettings
 
+# Chosen: the time for other proxies to learn of a planned stop (measured: 0.7 s until all of 100
+# had, docs/DECISIONS.md, "Urgent membership news is pushed"); requests that come later are sent
+# back.
 _ANNOUNCE_SECONDS = 0.5
+# Chosen: how late the end of the last request is noticed.
 _DRAIN_CHECK_SECONDS = 0.05
 
 
@@ -109,8 +113,8 @@
         await self._cluster.start()
         self._listener.listen(settings.caller_port, settings.caller_host or settings.host)
         log_event("proxy_started", zone=settings.zone, caller_port=settings.caller_port)
-        client = PlatformClient(settings.platform_url)
-        watch = asyncio.create_task(PlatformWatch(client, self._cluster, self._figures).run())
+        client = ObjectApiClient(settings.platform_url)
+        watch = asyncio.create_task(ObjectApiWatch(client, self._cluster, self._figures).run())
         await self._stop.wait()
         await self._finish_work()
         watch.cancel()
--- a/src/orchidwind/elected/network/backend.py
+++ b/src/orchidwind/elected/network/backend.py
@@ -31,6 +31,7 @@
     USER_TIMEOUT_MILLISECONDS,
 )
 
+# Chosen: rows of a result that libpq holds at once.
 _ROWS_A_CHUNK = 256
 _STATUS_BYTES = {
     pq.TransactionStatus.IDLE: b"I",
@@ -207,10 +208,10 @@
             request.start()
             while (state := request.poll()) != pq.PollingStatus.OK:
                 if state == pq.PollingStatus.FAILED:
-                    return
+                    return  # as below
                 await _wait_socket(request.socket, writable=state == pq.PollingStatus.WRITING)
         except psycopg.Error:
-            return
+            return  # a cancel promises nothing: the statement's own connection tells how it ends
         finally:
             request.finish()
 
--- a/src/orchidwind/elected/network/cluster.py
+++ b/src/orchidwind/elected/network/cluster.py
@@ -33,7 +33,9 @@
 from orchidwind.shared.logs import log_event
 from orchidwind.shared.settings import ProxySettings, parse_address
 
+# Chosen: changes of members within this time lead to one change of roles.
 _VIEW_SETTLE_SECONDS = 0.05
+# Chosen: one that dies leaves one, while the store has few watches.
 WATCHERS_A_ZONE = 2
 
 
--- a/src/orchidwind/elected/network/datagrams.py
+++ b/src/orchidwind/elected/network/datagrams.py
@@ -14,8 +14,12 @@
     ViewChanged,
 )
 from orchidwind.elected.network import codec
+from orchidwind.shared.logs import log_event
 
+# Chosen: a deadline that has passed is served this much later, so that other work runs in between.
 _SHORTEST_TIMER_SECONDS = 0.001
+# Chosen: datagrams that are not understood are logged at most this often; anybody may send them.
+_LOG_DROPPED_SECONDS = 60.0
 
 
 class MembershipService(asyncio.DatagramProtocol):
@@ -35,6 +39,8 @@
         self._timer: asyncio.TimerHandle | None = None
         self.sent_bytes = 0
         self.received_bytes = 0
+        self._dropped = 0
+        self._log_dropped_at = self._loop.time()
 
     async def start(self, host: str, port: int) -> None:
         """Open the socket and ask the seeds."""
@@ -50,12 +56,22 @@
         self.received_bytes += len(data)
         try:
             message = codec.decode_datagram(data)
-        except codec.DecodeError:
+        except codec.DecodeError as error:
+            self._note_dropped(addr, error)
             return
         self.perform(self.membership.receive(self._loop.time(), message))
 
     def error_received(self, exc: Exception) -> None:
-        """A port is closed: the probe's timer tells the same."""
+        """A port is closed; not logged, since the probe without an answer leads to a suspicion."""
+
+    def _note_dropped(self, sender: tuple[str | object, int], error: codec.DecodeError) -> None:
+        self._dropped += 1
+        now = self._loop.time()
+        if now >= self._log_dropped_at:
+            self._log_dropped_at = now + _LOG_DROPPED_SECONDS
+            log_event(
+                "datagram_not_understood", sender=sender[0], reason=error, dropped=self._dropped
+            )
 
     def perform(self, effects: Iterable[MembershipEffect]) -> None:
         """Carry out effects and set the timer."""
--- a/src/orchidwind/elected/network/front.py
+++ b/src/orchidwind/elected/network/front.py
@@ -40,10 +40,15 @@
 from orchidwind.shared.core.admission import TrafficClass
 from orchidwind.shared.core.errors import ErrorKind, PeerUnavailable, RequestError
 
+# PostgreSQL's type identifier of `text` (pg_type).
 _TEXT_OID = 25
-_GRACE_SECONDS = 0.25
+# Chosen: the home's own answer to a passed deadline says more, and has this long to come.
+_ANSWER_GRACE_SECONDS = 0.25
+# Chosen: what a home may take after its last sign that a statement runs: above CONFIRM_SECONDS of
+# `core/commit_barrier.py`, with which it may still wait for the commit.
 _CONFIRM_GRACE_SECONDS = 2.5
 _LOCAL_ORIGIN = "local"
+# Chosen: a quarter of the window of `link_server.py`, so that an answer flows without a stop.
 _CREDIT_BYTES = 128 * 1024
 
 
@@ -145,7 +150,7 @@
         loop = asyncio.get_running_loop()
         pending = await link.execute(to_execute(request, loop.time()))
         try:
-            async with asyncio.timeout_at(request.expires_at + _GRACE_SECONDS) as bound:
+            async with asyncio.timeout_at(request.expires_at + _ANSWER_GRACE_SECONDS) as bound:
                 while True:
                     part = await pending.parts.get()
                     if isinstance(part, PeerUnavailable):
--- a/src/orchidwind/elected/network/group_runner.py
+++ b/src/orchidwind/elected/network/group_runner.py
@@ -33,13 +33,21 @@
 from orchidwind.shared.logs import log_event
 from orchidwind.shared.silence import ConnectionKind, SilentConnection, log_silent
 
-_CONNECT_SECONDS = 2.0
+# Chosen: a new connection to an instance, with its login.
+_INSTANCE_CONNECT_SECONDS = 2.0
+# Chosen: a caller that takes no rows for this time is given up; eight such callers held all replica
+# connections of a home (docs/DECISIONS.md, "A caller that does not read for 2 s is given up").
 _STALLED_SECONDS = 2.0
+# Chosen: requests that wait for longer let the home borrow connections (docs/DECISIONS.md,
+# "Slots are lent between homes").
 _SHORT_OF_SLOTS_SECONDS = 0.1
+# Chosen: connections asked of each lender; it lends what it can spare.
 _WANTED_SLOTS = 4
+# SQLSTATE too_many_connections.
 _LIMIT_MET = "53300"
+# Chosen: a deadline that has passed is served this much later, so that other work runs in between.
 _SHORTEST_TIMER_SECONDS = 0.0005
-# The end of an answer may be on its way while the database already rests.
+# Chosen: the end of an answer may be on its way while the database already rests.
 _ANSWER_ON_ITS_WAY_SECONDS = 0.25
 
 OnFinished = Callable[[Outcome], None]
@@ -278,7 +286,7 @@
     async def _open(self, effect: OpenConnection) -> None:
         number = effect.connection
         try:
-            async with asyncio.timeout(_CONNECT_SECONDS):
+            async with asyncio.timeout(_INSTANCE_CONNECT_SECONDS):
                 connection = await BackendConnection.open(
                     self._target(effect.instance, observer=False), lambda: self._idle_lost(number)
                 )
@@ -371,13 +379,13 @@
         try:
             observer = self._observers.get(instance)
             if observer is None or observer.broken:
-                async with asyncio.timeout(_CONNECT_SECONDS):
+                async with asyncio.timeout(_INSTANCE_CONNECT_SECONDS):
                     observer = await Observer.open(self._target(instance, observer=True))
                 self._observers[instance] = observer
             status = await observer.ask()
         except TimeoutError:
             # The group has counted the query as overdue long ago, and asked again.
-            log_event("observer_not_opened", instance=instance, seconds=_CONNECT_SECONDS)
+            log_event("observer_not_opened", instance=instance, seconds=_INSTANCE_CONNECT_SECONDS)
             return
         except (BackendConnectionLost, BackendRefused, OSError):
             self._poll_failed(instance)
--- a/src/orchidwind/elected/network/home_service.py
+++ b/src/orchidwind/elected/network/home_service.py
@@ -13,7 +13,8 @@
 from orchidwind.elected.network.group_runner import GroupRunner, LeasePort, OnFinished
 from orchidwind.shared.core.errors import ErrorKind, RequestError
 
-_LOOK_AGAIN_SECONDS = 1.0
+# Chosen: how late the connections of a former home are closed after its last transaction.
+_CLOSE_FORMER_SECONDS = 1.0
 
 
 class HomeService:
@@ -25,7 +26,7 @@
         self.numbers = count(1)
         self._node = node
         self._former: list[GroupRunner] = []
-        self._look_again: asyncio.TimerHandle | None = None
+        self._close_timer: asyncio.TimerHandle | None = None
 
     def apply(self, content: OperatorFile, placement: Placement) -> None:
         """Take on and give up databases."""
@@ -101,23 +102,23 @@
 
     def close(self) -> None:
         """Close every connection."""
-        if self._look_again is not None:
-            self._look_again.cancel()
+        if self._close_timer is not None:
+            self._close_timer.cancel()
         for runner in [*self.runners.values(), *self._former]:
             runner.close()
 
     def _close_idle(self) -> None:
-        """Close former homes once nothing runs there; look again while some remain."""
+        """Close former homes once nothing runs there; check again while some remain."""
         for runner in list(self._former):
             if runner.group.idle:
                 runner.close()
                 self._former.remove(runner)
-        if self._former and self._look_again is None:
+        if self._former and self._close_timer is None:
             loop = asyncio.get_running_loop()
-            self._look_again = loop.call_later(_LOOK_AGAIN_SECONDS, self._on_look_again)
+            self._close_timer = loop.call_later(_CLOSE_FORMER_SECONDS, self._on_close_timer)
 
-    def _on_look_again(self) -> None:
-        self._look_again = None
+    def _on_close_timer(self) -> None:
+        self._close_timer = None
         self._close_idle()
 
 
--- a/src/orchidwind/elected/network/link_server.py
+++ b/src/orchidwind/elected/network/link_server.py
@@ -23,8 +23,12 @@
 from orchidwind.shared.logs import log_event
 from orchidwind.shared.sockets import watchful
 
+# Chosen: bytes of one answer that may be under way; bounds memory at the caller's proxy.
 _WINDOW_BYTES = 512 * 1024
+# Chosen: messages gathered into one write of the socket.
 _GATHERED_BYTES = 32 * 1024
+# Chosen: an answer up to this size travels in one message (docs/DECISIONS.md, "One record a link
+# message"); a longer one leaves in pieces of it.
 _SHORT_ANSWER_BYTES = 16 * 1024
 
 
@@ -150,7 +154,10 @@
         )
         try:
             await session.run()
-        except (StreamClosedError, codec.DecodeError, ValueError):
+        except StreamClosedError:
+            pass  # how each link ends; the other proxy logs what it had under way
+        except (codec.DecodeError, ValueError) as error:
+            log_event("peer_link_refused", peer=session.peer, reason=repr(error))
             stream.close()
         finally:
             self._streams.discard(stream)
--- a/src/orchidwind/elected/network/link_silence.py
+++ b/src/orchidwind/elected/network/link_silence.py
@@ -10,13 +10,16 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
+# Chosen: above a round trip between regions, so that most answers come without a probe.
 PROBE_AFTER_SECONDS = 0.25
 # Two lost packets in a row come again by then; the shortest deadline of a class is 5 s by default.
 SILENT_SECONDS = 1.0
 # One that was used lately is probed at rest, so that no request finds out first.
 REST_PROBE_SECONDS = 1.0
+# Chosen: bounds the probes of a link that nobody uses any longer.
 _IN_USE_SECONDS = 5.0
-_LOOK_SECONDS = 0.1
+# Chosen: how late a silence may be noticed.
+_CHECK_SECONDS = 0.1
 
 
 @dataclass(frozen=True, slots=True)
@@ -59,17 +62,17 @@
     def _owe(self) -> None:
         if self._owed_since is None:
             self._owed_since = self._loop.time()
-        self._look_in(_LOOK_SECONDS)
+        self._check_in(_CHECK_SECONDS)
 
-    def _look_in(self, seconds: float) -> None:
+    def _check_in(self, seconds: float) -> None:
         if self._timer is None:
-            self._timer = self._loop.call_later(seconds, self._look)
+            self._timer = self._loop.call_later(seconds, self._check)
 
-    def _look(self) -> None:
+    def _check(self) -> None:
         self._timer = None
         now = self._loop.time()
         if self._owed_since is None:
-            self._look_at_rest(now)
+            self._check_at_rest(now)
             return
         silent = now - self._owed_since
         if silent > SILENT_SECONDS:
@@ -77,15 +80,15 @@
             return
         if silent > PROBE_AFTER_SECONDS and now - self._probed_at > PROBE_AFTER_SECONDS:
             self._probe(now)
-        self._look_in(_LOOK_SECONDS)
+        self._check_in(_CHECK_SECONDS)
 
-    def _look_at_rest(self, now: float) -> None:
+    def _check_at_rest(self, now: float) -> None:
         if now - self._used_at > _IN_USE_SECONDS:
             return
         if now - self._heard_at >= REST_PROBE_SECONDS:
             self._probe(now)
             self._owe()
-        self._look_in(_LOOK_SECONDS)
+        self._check_in(_CHECK_SECONDS)
 
     def _probe(self, now: float) -> None:
         self._probed_at = now
--- a/src/orchidwind/elected/network/object_api_client.py
+++ b/src/orchidwind/elected/network/object_api_client.py
@@ -1,4 +1,7 @@
-"""Client of the platform's object API: read, compare-and-swap, watch, machine list."""
+"""Client of the object API: read, compare-and-swap and watch the configuration; list machines.
+
+Owns the form of its objects on the wire, and the errors of its answers.
+"""
 
 from __future__ import annotations
 
@@ -12,8 +15,11 @@
 from orchidwind.shared.core.errors import PlatformConflict, PlatformError, PlatformVersionGone
 
 OBJECT_NAME = "configuration"
+# Chosen: a read or a write of the whole configuration; 1 MB takes 1.6 s at 5 Mbit/s.
 _REQUEST_SECONDS = 3.0
+# Chosen: above any configuration; bounds memory against a faulty store.
 _MAXIMUM_BODY_BYTES = 64 * 1024 * 1024
+# Status codes of HTTP.
 _CONFLICT = 409
 _NOT_FOUND = 404
 _GONE = 410
@@ -60,7 +66,7 @@
     state: str = "live"
 
 
-class PlatformClient:
+class ObjectApiClient:
     """Talks to one platform service at a base URL."""
 
     def __init__(self, url: str) -> None:
--- a/src/orchidwind/elected/network/object_api_watch.py
+++ b/src/orchidwind/elected/network/object_api_watch.py
@@ -7,24 +7,28 @@
 
 from orchidwind.elected.metrics import Metrics
 from orchidwind.elected.network.cluster import Cluster
-from orchidwind.elected.network.object_api_client import ConfigurationObject, PlatformClient
+from orchidwind.elected.network.object_api_client import ConfigurationObject, ObjectApiClient
 from orchidwind.shared.core.errors import PlatformError, PlatformVersionGone
 from orchidwind.shared.logs import log_event
 
+# Chosen: peers have this long to pass their configuration on before the store is read.
 _FIRST_READ_AFTER_SECONDS = 1.0
+# Chosen: bounds the delay with which a new watcher begins.
 _ROLE_CHECK_SECONDS = 0.5
 # A watch that fell silent tells of no change, so each is opened anew: a configuration is to be in
 # force everywhere within 7 s (docs/DEVELOPERS.md), and takes a second or two from the watchers on.
 LONGEST_WATCH_SECONDS = 4.0
+# Chosen: pauses between calls to a store that fails; they double, and are spread at random.
 _SHORTEST_PAUSE_SECONDS = 0.2
 _LONGEST_PAUSE_SECONDS = 5.0
+# Chosen: the list only names members that gossip does not know, so it is read seldom.
 _MACHINE_LIST_SECONDS = 30.0
 
 
-class PlatformWatch:
+class ObjectApiWatch:
     """Reads first, then watches; a node without a role reads only until it has a configuration."""
 
-    def __init__(self, client: PlatformClient, cluster: Cluster, metrics: Metrics) -> None:
+    def __init__(self, client: ObjectApiClient, cluster: Cluster, metrics: Metrics) -> None:
         self._client = client
         self._cluster = cluster
         self._metrics = metrics
@@ -67,9 +71,9 @@
             async with asyncio.timeout(LONGEST_WATCH_SECONDS):
                 await self._client.watch(version, self._take)
         except TimeoutError:
-            return
+            return  # the watch lasted LONGEST_WATCH_SECONDS, and is opened anew
         except PlatformVersionGone:
-            self._read_lately = False
+            self._read_lately = False  # not logged: the whole is read anew, at once
         except PlatformError as error:
             self._read_lately = False
             log_event("platform_unavailable", reason=error)
@@ -99,7 +103,8 @@
     async def _read_machines(self) -> None:
         try:
             machines = await self._client.machines()
-        except PlatformError:
+        except PlatformError as error:
+            log_event("machine_list_not_read", reason=error)
             return
         membership = self._cluster.members.membership
         seeds = [(item.host, item.gossip_port) for item in machines if item.state == "live"]
--- a/src/orchidwind/elected/network/peer_link.py
+++ b/src/orchidwind/elected/network/peer_link.py
@@ -19,7 +19,8 @@
 from orchidwind.shared.silence import ConnectionKind, SilentConnection, log_silent
 from orchidwind.shared.sockets import watchful
 
-_CONNECT_SECONDS = 1.0
+# Chosen: as long as an open link may be silent (`link_silence.py`).
+_LINK_CONNECT_SECONDS = 1.0
 
 AnswerPart = (
     codec.ResultColumns
@@ -69,7 +70,7 @@
             if self._stream is not None and not self._stream.closed():
                 return
             try:
-                async with asyncio.timeout(_CONNECT_SECONDS):
+                async with asyncio.timeout(_LINK_CONNECT_SECONDS):
                     stream = await TCPClient().connect(
                         *self._address, max_buffer_size=LINK_BUFFER_BYTES
                     )
@@ -122,7 +123,7 @@
         return LinkActions(probe, give_up, lambda: len(self._pending))
 
     def close(self) -> None:
-        """Cut the link; what waits is told."""
+        """Cut the link; requests that wait on it fail with PeerUnavailable."""
         if self._stream is not None:
             self._stream.close()
 
--- a/src/orchidwind/elected/postgres/listener.py
+++ b/src/orchidwind/elected/postgres/listener.py
@@ -11,6 +11,7 @@
 from orchidwind.shared.core.errors import ErrorKind, RequestError
 from orchidwind.shared.sockets import watchful
 
+# The protocol's process id is a signed number of 32 bits.
 MAXIMUM_PROCESS_ID = 2**31 - 1
 
 
--- a/src/orchidwind/elected/postgres/scram.py
+++ b/src/orchidwind/elected/postgres/scram.py
@@ -8,6 +8,7 @@
 
 MECHANISM = "SCRAM-SHA-256"
 _PLACEHOLDER_USER = "orchidwind"
+# PostgreSQL's defaults (SCRAM_SHA_256_DEFAULT_ITERATIONS, SCRAM_DEFAULT_SALT_LEN).
 _ITERATIONS = 4096
 _SALT_BYTES = 16
 _FIELDS_BEFORE_BARE = 2
@@ -50,7 +51,7 @@
                 self._server.set_client_first(client_first)
             return str(self._server.get_server_first())
         except (ScramException, ValueError):
-            return None
+            return None  # answered, and counted, as a wrong password
 
     def final(self, client_final: str) -> str | None:
         """The server's proof, or None where the client's proof is wrong."""
@@ -58,4 +59,4 @@
             self._server.set_client_final(client_final)
             return str(self._server.get_server_final())
         except (ScramException, ValueError):
-            return None
+            return None  # answered, and counted, as a wrong password
--- a/src/orchidwind/elected/postgres/server_session.py
+++ b/src/orchidwind/elected/postgres/server_session.py
@@ -31,11 +31,17 @@
 from orchidwind.elected.postgres.wire import codec
 from orchidwind.shared.core.errors import ErrorKind, RequestError
 
+# Chosen: one read of the socket.
 _READ_BYTES = 64 * 1024
+# Chosen: from the connection to the end of the login; silent connections are closed after it.
 _LOGIN_SECONDS = 10.0
+# Chosen: read while a statement runs, to notice a caller that goes; bounds memory.
 _READ_AHEAD_BYTES = 256 * 1024
+# Chosen: what a caller may take to read that the proxy stops.
 _FAREWELL_SECONDS = 2.0
+# Chosen: messages without Sync; bounds memory.
 _MAXIMUM_BATCH_MESSAGES = 20_000
+# The protocol's secret is a signed number of 32 bits.
 _SECRET_BITS = 31
 _FIXED_PARAMETERS = {
     "server_version": "15.8",
@@ -104,7 +110,7 @@
             if logged_in:
                 await self._serve()
         except StreamClosedError:
-            pass
+            pass  # how each connection ends; nobody is left to answer
         except TimeoutError:
             self._fail(RequestError(ErrorKind.PROTOCOL_VIOLATION, "the login took too long"))
         except wire.ProtocolViolation as violation:
