--- a/src/orchidwind/elected/daemon.py
+++ b/src/orchidwind/elected/daemon.py
@@ -171,15 +171,15 @@
 
     def metrics(self) -> bytes:
         """The figures, with the gauges brought up to date."""
-        figures = self._figures
-        figures.callers.set(len(self._listener.sessions))
-        figures.members.set(len(self._cluster.members.membership.usable()))
-        figures.homes.set(len(self._homes.runners))
-        figures.configuration_version.set(self._cluster.history.version)
+        gauges = self._figures.gauges
+        gauges.callers.set(len(self._listener.sessions))
+        gauges.members.set(len(self._cluster.members.membership.usable()))
+        gauges.homes.set(len(self._homes.runners))
+        gauges.configuration_version.set(self._cluster.history.version)
         members = self._cluster.members
-        figures.suspicions.set(members.membership.suspicions)
-        figures.gossip_bytes.set(members.sent_bytes + members.received_bytes)
-        return figures.render()
+        gauges.suspicions.set(members.membership.suspicions)
+        gauges.gossip_bytes.set(members.sent_bytes + members.received_bytes)
+        return self._figures.render()
 
     def status(self) -> ProxyStatus:
         """The state of the proxy."""
--- a/src/orchidwind/elected/metrics.py
+++ b/src/orchidwind/elected/metrics.py
@@ -1,4 +1,7 @@
-"""Figures of one proxy, in Prometheus' text form on `/metrics`."""
+"""Figures of one proxy, in Prometheus' text form on `/metrics`.
+
+Owns the names and labels, which dashboards rely on; docs/OPERATIONS.md says how to read each.
+"""
 
 from __future__ import annotations
 
@@ -14,62 +17,66 @@
 from orchidwind.elected.core.statements import Outcome, RequestKind
 from orchidwind.shared.core.errors import RequestError
 
+# Seconds; chosen, from a read on a near replica to the longest deadlines.
 _LATENCY_BUCKETS = (0.001, 0.002, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5, 10)
 _TARGET_NAMES = {True: "replica", False: "primary"}
 
 
+class Gauges:
+    """Figures that are set as they are asked for."""
+
+    def __init__(self, registry: CollectorRegistry) -> None:
+        def gauge(name: str, text: str) -> Gauge:
+            return Gauge(name, text, registry=registry)
+
+        self.callers = gauge("orchidwind_callers", "Callers' connections")
+        self.members = gauge("orchidwind_members", "Proxies usable for roles")
+        self.homes = gauge("orchidwind_homes", "Databases that this proxy is home of")
+        self.configuration_version = gauge(
+            "orchidwind_configuration_version", "Version of the configuration in force"
+        )
+        self.watching = gauge(
+            "orchidwind_platform_watch", "1 while this proxy watches the platform"
+        )
+        self.gossip_bytes = gauge(
+            "orchidwind_gossip_bytes", "Bytes of membership datagrams, both ways"
+        )
+        self.suspicions = gauge(
+            "orchidwind_suspicions", "Members that this proxy has suspected since its start"
+        )
+
+
 class Metrics:
     """All figures; one object a process."""
 
     def __init__(self) -> None:
         self.registry = CollectorRegistry()
         ProcessCollector(registry=self.registry)
-        self._requests = Counter(
-            "orchidwind_requests",
-            "Requests finished, by kind and result",
-            ["kind", "result"],
-            registry=self.registry,
+        self._requests = self._counter(
+            "orchidwind_requests", "Requests finished, by kind and result", "kind", "result"
         )
-        self._reads = Counter(
+        self._reads = self._counter(
             "orchidwind_reads",
             "Reads answered, by where they ran and by traffic class",
-            ["target", "traffic_class"],
-            registry=self.registry,
+            "target",
+            "traffic_class",
         )
-        self._seconds = Histogram(
+        seconds = Histogram(
             "orchidwind_request_seconds",
             "Time from a statement's arrival to its outcome",
             ["kind"],
             buckets=_LATENCY_BUCKETS,
             registry=self.registry,
         )
-        self._errors = Counter(
-            "orchidwind_errors",
-            "Errors told to callers, by kind",
-            ["kind"],
-            registry=self.registry,
-        )
-        self.callers = self._gauge("orchidwind_callers", "Callers' connections")
-        self.members = self._gauge("orchidwind_members", "Proxies usable for roles")
-        self.homes = self._gauge("orchidwind_homes", "Databases that this proxy is home of")
-        self.configuration_version = self._gauge(
-            "orchidwind_configuration_version", "Version of the configuration in force"
-        )
-        self.watching = self._gauge(
-            "orchidwind_platform_watch", "1 while this proxy watches the platform"
-        )
-        self.gossip_bytes = self._gauge(
-            "orchidwind_gossip_bytes", "Bytes of membership datagrams, both ways"
-        )
-        self.suspicions = self._gauge(
-            "orchidwind_suspicions", "Members that this proxy has suspected since its start"
-        )
+        self._errors = self._counter("orchidwind_errors", "Errors told to callers, by kind", "kind")
+        self.gauges = Gauges(self.registry)
+        # Children by their labels: to look them up in the registry costs a lock for each request.
         self._children: dict[tuple[str, str], Counter] = {}
         self._targets: dict[tuple[bool, str], Counter] = {}
-        self._timers = {kind: self._seconds.labels(kind.value) for kind in RequestKind}
+        self._timers = {kind: seconds.labels(kind.value) for kind in RequestKind}
 
-    def _gauge(self, name: str, text: str) -> Gauge:
-        return Gauge(name, text, registry=self.registry)
+    def _counter(self, name: str, text: str, *labels: str) -> Counter:
+        return Counter(name, text, labels, registry=self.registry)
 
     def finished(
         self, kind: RequestKind, traffic_class: str, outcome: Outcome, seconds: float
@@ -94,7 +101,7 @@
         target.inc()
 
     def error_answered(self, error: RequestError) -> None:
-        """A caller was told an error."""
+        """A caller got an error as its answer."""
         self._errors.labels(error.kind.value).inc()
 
     def render(self) -> bytes:
--- a/src/orchidwind/elected/network/object_api_watch.py
+++ b/src/orchidwind/elected/network/object_api_watch.py
@@ -67,7 +67,7 @@
                 self._read_lately = False
                 await asyncio.sleep(_ROLE_CHECK_SECONDS)
                 return
-            self._metrics.watching.set(1)
+            self._metrics.gauges.watching.set(1)
             async with asyncio.timeout(LONGEST_WATCH_SECONDS):
                 await self._client.watch(version, self._take)
         except TimeoutError:
@@ -80,7 +80,7 @@
             await asyncio.sleep(self._pause * random.uniform(0.5, 1.5))
             self._pause = min(self._pause * 2, _LONGEST_PAUSE_SECONDS)
         finally:
-            self._metrics.watching.set(0)
+            self._metrics.gauges.watching.set(0)
 
     async def _read(self) -> None:
         """Read the whole; watches go on from there until one fails."""
