--- a/src/orchidwind/elected/network/backend_state.py
+++ b/src/orchidwind/elected/network/backend_state.py
@@ -12,7 +12,7 @@
 from orchidwind.elected.network.backend import BackendConnection, ConnectionTarget
 from orchidwind.shared.core.errors import BackendRefused
 
-# As long as any new connection to an instance (`group_runner.py`).
+# As long as any new connection to an instance (`instance_targets.py`).
 _ASK_SECONDS = 2.0
 _ACTIVE = b"active"
 
--- a/src/orchidwind/elected/network/cluster.py
+++ b/src/orchidwind/elected/network/cluster.py
@@ -25,6 +25,7 @@
 from orchidwind.elected.core.placement import Node, Placement
 from orchidwind.elected.core.slot_leases import LeaseAnswer
 from orchidwind.elected.network import codec
+from orchidwind.elected.network.background_tasks import BackgroundTasks
 from orchidwind.elected.network.datagrams import MembershipService
 from orchidwind.elected.network.front import Home
 from orchidwind.elected.network.peer_link import PeerLink
@@ -51,7 +52,7 @@
         self._settings = settings
         self._on_roles = on_roles
         self.on_lease: Callable[[str, str, LeaseAnswer], None] = lambda database, peer, answer: None
-        self._tasks: set[asyncio.Task[None]] = set()
+        self._tasks = BackgroundTasks()
         self._loop = asyncio.get_running_loop()
         self._classes = ClassMatcher([])
         self._homes: dict[str, Home | None] = {}
@@ -181,9 +182,7 @@
         message: codec.LinkMessage,
         on_unsent: Callable[[], None] = lambda: None,
     ) -> None:
-        task = self._loop.create_task(self._send(link, message, on_unsent))
-        self._tasks.add(task)
-        task.add_done_callback(self._tasks.discard)
+        self._tasks.spawn(self._send(link, message, on_unsent))
 
     async def _send(
         self, link: PeerLink, message: codec.LinkMessage, on_unsent: Callable[[], None]
--- a/src/orchidwind/elected/network/home_service.py
+++ b/src/orchidwind/elected/network/home_service.py
@@ -10,7 +10,8 @@
 from orchidwind.elected.core.slot_leases import LeaseAnswer
 from orchidwind.elected.core.statements import ChannelKey, Outcome, StatementRequest
 from orchidwind.elected.network.backend import AnswerPort
-from orchidwind.elected.network.group_runner import GroupRunner, LeasePort, OnFinished
+from orchidwind.elected.network.group_runner import GroupRunner, OnFinished
+from orchidwind.elected.network.slot_lending import LeasePort
 from orchidwind.shared.core.errors import ErrorKind, RequestError
 
 # Chosen: how late the connections of a former home are closed after its last transaction.
