--- a/src/orchidwind/elected/daemon.py
+++ b/src/orchidwind/elected/daemon.py
@@ -25,7 +25,7 @@
 from orchidwind.elected.postgres.executor import Executor, SessionParameters
 from orchidwind.elected.postgres.listener import PostgresListener
 from orchidwind.elected.postgres.scram import ScramVerifier
-from orchidwind.elected.postgres.server_session import SessionHost
+from orchidwind.elected.postgres.session_host import SessionHost
 from orchidwind.shared.core.errors import ErrorKind, RequestError
 from orchidwind.shared.core.positions import format_lsn
 from orchidwind.shared.logs import log_event
--- a/src/orchidwind/elected/postgres/listener.py
+++ b/src/orchidwind/elected/postgres/listener.py
@@ -7,7 +7,8 @@
 from tornado.iostream import IOStream
 from tornado.tcpserver import TCPServer
 
-from orchidwind.elected.postgres.server_session import ServerSession, SessionHost, encode_error
+from orchidwind.elected.postgres.server_session import ServerSession, encode_error
+from orchidwind.elected.postgres.session_host import SessionHost
 from orchidwind.shared.core.errors import ErrorKind, RequestError
 from orchidwind.shared.sockets import watchful
 
--- a/src/orchidwind_standins/elected/postgres_main.py
+++ b/src/orchidwind_standins/elected/postgres_main.py
@@ -17,7 +17,7 @@
 from orchidwind.elected.postgres.executor import Executor, SessionParameters
 from orchidwind.elected.postgres.listener import PostgresListener
 from orchidwind.elected.postgres.scram import ScramVerifier
-from orchidwind.elected.postgres.server_session import SessionHost
+from orchidwind.elected.postgres.session_host import SessionHost
 from orchidwind.shared.core.errors import ErrorKind, RequestError
 from orchidwind_standins.elected import frames, group_settings
 from orchidwind_standins.elected.group_settings import Faults, GroupSettings, InstanceSettings
--- a/tests/elected/test_silent_backends.py
+++ b/tests/elected/test_silent_backends.py
@@ -22,7 +22,7 @@
 from orchidwind.elected.network.observer import STATUS_QUERY
 from orchidwind.elected.postgres.executor import Description, Executor
 from orchidwind.elected.postgres.listener import PostgresListener
-from orchidwind.elected.postgres.server_session import SessionHost
+from orchidwind.elected.postgres.session_host import SessionHost
 from orchidwind.elected.postgres.wire import codec
 from orchidwind.shared.core.admission import TrafficClass
 from orchidwind.shared.core.errors import ErrorKind
