--- a/src/orchidwind/promoted/core/lead_lease.py
+++ b/src/orchidwind/promoted/core/lead_lease.py
@@ -7,11 +7,14 @@
 primary can lead, and answers of the known primary need no further proof.
 
 One reading of the lock serves several proxies: one reads it from the store, the others ask that
-one. What they are told is as old as the reading, so the lease runs out at the same time.
+one. What they get is as old as the reading, so the lease runs out at the same time.
 
 Weighed: a status query of a replica for each such read (works without the store, and is what is
 done without a lease), and leases granted by peers (needs a majority, and any number of machines
 may be lost at once).
+
+Owns: until when one proxy is covered, and the newest revision of the lock that it saw. Relies on:
+`promotion_lock`, whose revision rises with every change, and steady clocks of about the same rate.
 """
 
 from __future__ import annotations
@@ -20,11 +23,30 @@
 
 from orchidwind.promoted.core.promotion_lock import LockRecord
 
+# Seconds from the sending of a reading for which nobody can lead anew. Chosen: longer leases mean
+# fewer readings of the lock (one each 0.75 s a reader), and a longer wait of a change of primary
+# for a proxy that does not confirm.
 LEASE_SECONDS = 1.0
-# A lease is renewed this long before it runs out.
+# A lease is renewed so many seconds before it runs out. Chosen: time for a few calls of the store.
 RENEWAL_MARGIN_SECONDS = 0.25
-# Steady clocks of two machines run at slightly different rates.
-REVOCATION_WAIT_SECONDS = 1.1
+# What steady clocks of two machines may differ by over a lease, in seconds. Chosen: a tenth of the
+# lease, far beyond any clock's drift.
+_CLOCK_RATE_MARGIN_SECONDS = 0.1
+# Seconds for which a change of primary waits, from when it holds the lock: all leases have run out.
+REVOCATION_WAIT_SECONDS = LEASE_SECONDS + _CLOCK_RATE_MARGIN_SECONDS
+# The lock is not read more often than each so many seconds. Chosen, for a lease that is short
+# because its reading was old when it came.
+_SHORTEST_RENEWAL_SECONDS = 0.1
+# Seconds between two readings while the lock is not known to be free. Chosen: as often as a lease
+# is renewed; the watch of the lock ends this wait when the lock is given back.
+_WITHOUT_LEASE_SECONDS = LEASE_SECONDS - RENEWAL_MARGIN_SECONDS
+# A reading older than this is not passed on. Chosen: half of the lease is left then.
+LONGEST_RELAYED_AGE_SECONDS = LEASE_SECONDS / 2
+# Seconds for which another proxy is asked for its reading. Chosen: what a reading of the store by
+# this proxy would lose by waiting longer.
+RELAY_CALL_SECONDS = 0.1
+
+assert RELAY_CALL_SECONDS < RENEWAL_MARGIN_SECONDS < LEASE_SECONDS < REVOCATION_WAIT_SECONDS
 
 
 @dataclass(frozen=True, slots=True)
@@ -85,12 +107,8 @@
         """Until when no change of primary can take effect."""
         return self._covered_until
 
-    def lock_read(self, sent_at: float, record: LockRecord | None) -> None:
-        """The lock was read by a call that was sent at a time."""
-        self.lock_seen(LockReading.of(sent_at, record))
-
     def lock_seen(self, reading: LockReading) -> None:
-        """The lock was read, by this proxy or by another that told of it."""
+        """The lock was read, by this proxy or by another that passed its reading on."""
         self._note_first(reading.revision)
         if reading.revision < self._newest_revision:
             return
@@ -116,3 +134,10 @@
         """Rely on nothing until the lock is read again."""
         self._free = False
         self._covered_until = float("-inf")
+
+
+def renewal_due_in(lease: LeadLease, now: float) -> float:
+    """Seconds until the lock is to be read again, while requests want the lease."""
+    if lease.free_revision is None:
+        return _WITHOUT_LEASE_SECONDS
+    return max(lease.covered_until - now - RENEWAL_MARGIN_SECONDS, _SHORTEST_RENEWAL_SECONDS)
--- a/src/orchidwind/promoted/group/lease_keeper.py
+++ b/src/orchidwind/promoted/group/lease_keeper.py
@@ -1,21 +1,30 @@
-"""Keeps this proxy's lead lease, and collects the others' confirmations before a promotion."""
+"""Keeps this proxy's lead lease, and collects the others' confirmations before a promotion.
+
+What for: `core/lead_lease.py` says for how long a lease covers; this reads the promotion lock while
+requests want the lease, drops the lease when another proxy takes the lock, and confirms that to the
+registry in the store. A proxy that promotes waits here until all others have confirmed, or until
+all leases have run out.
+
+Owns: the lease, the registration of this proxy, and up to where it acknowledged commits of each
+group. Relies on: `lock_readings` for readings, a watch that calls `listed` and `changed` with the
+lock's records, and a registry whose calls end in bounded time.
+"""
 
 from __future__ import annotations
 
 import asyncio
-from collections.abc import Callable, Iterable, Sequence
+from collections.abc import Callable, Iterable
 from dataclasses import replace
 
 from orchidwind.promoted.core.failover_steps import AcknowledgedCommits
 from orchidwind.promoted.core.lead_lease import (
-    RENEWAL_MARGIN_SECONDS,
     REVOCATION_WAIT_SECONDS,
     LeadLease,
-    LockReading,
+    renewal_due_in,
 )
 from orchidwind.promoted.core.peer_messages import LockReport
 from orchidwind.promoted.core.promotion_lock import TAKE_OVER_SECONDS, LockRecord
-from orchidwind.promoted.peers.peer_link import PeerLink
+from orchidwind.promoted.group.lock_readings import LockReadings
 from orchidwind.promoted.peers.peer_network import LockReaders
 from orchidwind.promoted.ports import (
     Changes,
@@ -24,20 +33,22 @@
     Listing,
     PromotionLockStore,
 )
-from orchidwind.shared.core.errors import PeerUnavailable, PlatformError
+from orchidwind.shared.core.errors import PlatformError
 from orchidwind.shared.core.positions import Position
 from orchidwind.shared.logs import log_event
 
-_RETRY_SECONDS = 0.25
-_ASK_AGAIN_SECONDS = 0.025
-_SHORTEST_RENEWAL_SECONDS = 0.1
-_WITHOUT_LEASE_SECONDS = 0.75
-# A reading older than this is not passed on: too little of the lease is left.
-_OLDEST_REPORT_SECONDS = 0.5
-_REPORT_SECONDS = 0.1
-# A planned stop has used most of its grace by then.
+# Seconds until a registration or confirmation that failed is tried again. Chosen: a holder waits
+# 1.1 s for a confirmation, so a second and a third try still count.
+_REGISTRY_RETRY_SECONDS = 0.25
+# Seconds between two looks at the others' confirmations. Chosen: a few calls of the store long
+# (4 ms each with the first users); what is left of a change of primary waits for it.
+_CONFIRMATIONS_INTERVAL_SECONDS = 0.025
+# Seconds that a proxy which stops waits for its last word in the registry. Chosen: a planned stop
+# has used most of its grace by then.
 _LEAVE_SECONDS = 0.3
 
+assert _REGISTRY_RETRY_SECONDS * 2 < REVOCATION_WAIT_SECONDS
+
 
 class LeaseKeeper:
     """One proxy's lease, while requests want it."""
@@ -52,16 +63,12 @@
     ) -> None:
         """`readers` tells which proxies read the lock for others."""
         self._on_lock_seen = on_lock_seen
-        self._readers = readers
-        self._reading: LockReading | None = None
-        self._readable = True
-        self._read_again = asyncio.Lock()
+        self._readings = LockReadings(lock_store, readers)
         self._released = asyncio.Event()
         self.lease = LeadLease()
         self.holder = ""
         self._held_since = 0.0
         self._node = node
-        self._lock_store = lock_store
         self._registry = registry
         self._registered = False
         self._wanted = asyncio.Event()
@@ -86,11 +93,11 @@
         return self.lease.free_revision
 
     def note_acknowledged(self, group: str, position: Position) -> None:
-        """A commit of a group is told to its caller, up to this end of the primary's log."""
+        """A commit of a group is acknowledged, up to this end of the primary's log."""
         self._acknowledged[group] = max(position, self._acknowledged.get(group, position))
 
     def _confirmation(self, revision: int) -> LeaseConfirmation:
-        # Before the lock was seen, nobody can tell how long this process has run.
+        # Before the lock was seen, it is not known how long this process has run.
         first = self.lease.first_revision
         first = revision if first is None else first
         return LeaseConfirmation(self._node, revision, first, dict(self._acknowledged))
@@ -99,7 +106,7 @@
         """Register with the first request, then read the lock as often as they want the lease."""
         await self._wanted.wait()
         while not await self._register():
-            await asyncio.sleep(_RETRY_SECONDS)
+            await asyncio.sleep(_REGISTRY_RETRY_SECONDS)
         while True:
             await self._wanted.wait()
             self._wanted.clear()
@@ -109,15 +116,12 @@
     async def _rest(self) -> None:
         """Wait until the lease is due, or another change of primary is over."""
         self._released.clear()
-        left = self.lease.covered_until - self._loop.time() - RENEWAL_MARGIN_SECONDS
-        due = max(left, _SHORTEST_RENEWAL_SECONDS)
+        due_in = renewal_due_in(self.lease, self._loop.time())
         try:
-            async with asyncio.timeout(
-                due if self.lease.free_revision is not None else _WITHOUT_LEASE_SECONDS
-            ):
+            async with asyncio.timeout(due_in):
                 await self._released.wait()
         except TimeoutError:
-            return
+            return  # the usual end of this wait: the lease is due
 
     async def _register(self) -> bool:
         """Others wait for this proxy from now on, so its lease may count."""
@@ -130,68 +134,13 @@
         return True
 
     async def _renew(self) -> None:
-        readers = self._readers()
-        sources = readers.before if self._readable else (*readers.before, *readers.after)
-        reading = await self._relayed_reading(sources) or await self._recent_reading()
-        reading = reading or await self._relayed_reading(readers.after)
+        reading = await self._readings.current()
         if reading is not None:
             self.lease.lock_seen(reading)
 
-    async def _relayed_reading(self, sources: Sequence[PeerLink]) -> LockReading | None:
-        """What other proxies tell of the lock, None where none tells anything of use."""
-        for link in sources:
-            reading = await self._ask_for_reading(link)
-            if reading is not None:
-                return reading
-        return None
-
-    async def _ask_for_reading(self, link: PeerLink) -> LockReading | None:
-        asked_at = self._loop.time()
-        try:
-            async with asyncio.timeout(_REPORT_SECONDS):
-                report = await link.ask_lock()
-        except (PeerUnavailable, TimeoutError) as error:
-            log_event("lock_reading_not_received", peer=link.member.name, reason=repr(error))
-            return None
-        if not report.known or report.age > _OLDEST_REPORT_SECONDS:
-            return None
-        return LockReading.relayed(asked_at, report.age, report.revision, report.free)
-
-    async def _own_reading(self) -> LockReading | None:
-        """Read the lock from the store, None where it does not answer."""
-        sent_at = self._loop.time()
-        try:
-            record = await self._lock_store.read()
-        except PlatformError as error:
-            self._note_readable(False, str(error))
-            return None
-        self._note_readable(True, "")
-        self._reading = LockReading.of(sent_at, record)
-        return self._reading
-
-    def _note_readable(self, readable: bool, reason: str) -> None:
-        """Log when the lock can be read no more, or again; without it there is no lease."""
-        if readable != self._readable:
-            self._readable = readable
-            log_event(
-                "promotion_lock_readable" if readable else "promotion_lock_lost", reason=reason
-            )
-
-    async def _recent_reading(self) -> LockReading | None:
-        """This proxy's last reading, or a new one where that is old."""
-        async with self._read_again:
-            reading = self._reading
-            if reading is None or self._loop.time() - reading.sent_at > _OLDEST_REPORT_SECONDS:
-                reading = await self._own_reading()
-            return reading
-
     async def report(self, number: int) -> LockReport:
-        """Another proxy asks what the lock is: one reading serves all that ask meanwhile."""
-        reading = await self._recent_reading()
-        if reading is None:
-            return LockReport(number, known=False, age=0.0, revision=0, free=False)
-        age = self._loop.time() - reading.sent_at
-        return LockReport(number, known=True, age=age, revision=reading.revision, free=reading.free)
+        """Another proxy asks what the lock is."""
+        return await self._readings.report(number)
 
     def held_by_another(self) -> bool:
         """Whether another proxy is known to hold the promotion lock, not for too long yet."""
@@ -243,12 +192,12 @@
 
     async def _confirm_again(self) -> None:
         """Try again while the holder may still wait for this proxy."""
-        await asyncio.sleep(_RETRY_SECONDS)
+        await asyncio.sleep(_REGISTRY_RETRY_SECONDS)
         if self._loop.time() - self._held_since < REVOCATION_WAIT_SECONDS:
             self._confirm_wanted.set()
 
     async def leave(self) -> None:
-        """This proxy stops: nobody waits for it any more, but what it has told stays known.
+        """This proxy stops: nobody waits for it any more, but what it acknowledged stays known.
 
         Written over this process's own object only: a call that is late must not speak for the
         process that is started next under the same name.
@@ -269,7 +218,7 @@
     ) -> AcknowledgedCommits | None:
         """Wait until no other proxy's lease counts; `taken_at` is when the lock's answer came.
 
-        What all proxies have told of a group, None where one of them does not say.
+        Up to where all proxies acknowledged commits of a group, None where one does not say.
         """
         self.lease.lock_taken(token)
         deadline = taken_at + REVOCATION_WAIT_SECONDS
@@ -277,7 +226,7 @@
             confirmed = await self._all_dropped(token)
             if confirmed is not None:
                 return _acknowledged_by(group, (*confirmed, self._confirmation(token)))
-            await asyncio.sleep(min(_ASK_AGAIN_SECONDS, left))
+            await asyncio.sleep(min(_CONFIRMATIONS_INTERVAL_SECONDS, left))
         return None
 
     async def _all_dropped(self, token: int) -> list[LeaseConfirmation] | None:
--- a/src/orchidwind_bench/promoted/exploration/proxy.py
+++ b/src/orchidwind_bench/promoted/exploration/proxy.py
@@ -18,7 +18,7 @@
     FailoverStep,
     PromotionAnswer,
 )
-from orchidwind.promoted.core.lead_lease import REVOCATION_WAIT_SECONDS, LeadLease
+from orchidwind.promoted.core.lead_lease import REVOCATION_WAIT_SECONDS, LeadLease, LockReading
 from orchidwind.promoted.core.lead_proof import (
     LeaseEvidence,
     ProvenLead,
@@ -269,7 +269,7 @@
             sent_at = self.now()
             read = yield from self._read_lock()
             if read is not None:
-                self._lease.lock_read(sent_at, read[0])
+                self._lease.lock_seen(LockReading.of(sent_at, read[0]))
                 yield from self._prove_lead()
             yield LEASE_SECONDS
 
