--- a/src/orchidwind/promoted/core/promotion_lock.py
+++ b/src/orchidwind/promoted/core/promotion_lock.py
@@ -7,6 +7,9 @@
 promotion call that is still under way. So does the holder itself, and a process that was started
 anew under its name, once a promotion was written down under this hold: the call may take effect
 yet, and whoever finds the old primary leading would free the replicas for it.
+
+Owns: since when the lock was seen at its revision (`LockObserver`). Relies on: a store whose
+compare-and-put gives each change a higher revision. Times are in seconds of the steady clock.
 """
 
 from __future__ import annotations
@@ -14,8 +17,25 @@
 from dataclasses import dataclass
 from enum import Enum, unique
 
+from orchidwind.promoted.core.call_limits import PROMOTION_CALL_SECONDS
+
+# Seconds from the sending of the call that took the lock for which its holder uses it. Chosen: the
+# wait for leases, and twelve attempts to find a candidate (`failover`), fit in.
 HOLD_SECONDS = 3.0
-TAKE_OVER_SECONDS = 4.3
+# Seconds that a promotion call may still be under way when its caller's hold has ended, with some
+# tenths for it to take effect. Chosen.
+_LATE_PROMOTION_SECONDS = 1.3
+# Seconds after which others take over a lock that has not changed.
+TAKE_OVER_SECONDS = HOLD_SECONDS + _LATE_PROMOTION_SECONDS
+# No call is begun in so many last seconds of the hold. Chosen: as long as a call of an instance
+# may take.
+CALL_MARGIN_SECONDS = 0.2
+# Seconds after its promotion for which a proxy leaves the lock to others, where another has
+# promoted since: the other may hold it so long, and half a second is for what is on its way.
+ALTERNATION_SECONDS = HOLD_SECONDS + 0.5
+
+assert PROMOTION_CALL_SECONDS < _LATE_PROMOTION_SECONDS
+assert ALTERNATION_SECONDS < TAKE_OVER_SECONDS
 
 
 @dataclass(frozen=True, slots=True)
@@ -83,3 +103,21 @@
     if record.attempt != attempt or record.released:
         return None
     return HeldLock(record.revision, sent_at + HOLD_SECONDS)
+
+
+def usable_seconds(held: HeldLock | None, now: float) -> float | None:
+    """For how many seconds the lock is surely held; None where no call may be begun any more."""
+    if held is None:
+        return None
+    left = held.valid_until - now
+    return left if left > CALL_MARGIN_SECONDS else None
+
+
+def would_alternate(since_call: float, called_with: int, newest_token: int) -> bool:
+    """Whether a proxy must leave the lock to others: two holders must not take turns.
+
+    `since_call`: seconds since its own last promotion call, under the token `called_with`;
+    `newest_token`: that of the last promotion of any group. A third proxy may go on, or this one
+    after a while.
+    """
+    return since_call < ALTERNATION_SECONDS and newest_token > called_with
--- a/src/orchidwind/promoted/group/failover_runner.py
+++ b/src/orchidwind/promoted/group/failover_runner.py
@@ -1,9 +1,16 @@
-"""Carries out the steps of a change of primary: the lock in the store, calls to the instances."""
+"""Carries out the steps of a change of primary: the lock in the store, calls to the instances.
+
+What for: `core/failover.py` has the order of the steps; this makes each call, logs what came back,
+and throws LockLost into the flow where the lock's time has passed.
+
+Owns: the lock that one change of primary holds, and whether its promotion is settled. Relies on:
+the group's calls to instances, the promotion service, the lease keeper and the roster keeper, all
+of which end in bounded time.
+"""
 
 from __future__ import annotations
 
 import asyncio
-import secrets
 from collections.abc import Awaitable, Callable, Coroutine
 from typing import Any
 
@@ -32,117 +39,15 @@
     UnfenceAll,
     Wait,
 )
-from orchidwind.promoted.core.promotion_lock import (
-    HOLD_SECONDS,
-    HeldLock,
-    LockDecision,
-    LockObserver,
-    LockRecord,
-    held_lock,
-)
+from orchidwind.promoted.core.promotion_lock import HeldLock, usable_seconds
 from orchidwind.promoted.core.roster import PromotionRecord
 from orchidwind.promoted.group.group_service import GroupService
 from orchidwind.promoted.group.lease_keeper import LeaseKeeper
+from orchidwind.promoted.group.promotion_lock_client import PromotionLockClient
 from orchidwind.promoted.group.roster_keeper import RosterKeeper
-from orchidwind.promoted.ports import InstanceLink, PromotionLockStore, PromotionService
-from orchidwind.shared.core.errors import (
-    PlatformConflict,
-    PlatformError,
-    PlatformUncertain,
-)
+from orchidwind.promoted.ports import InstanceLink, PromotionService
 from orchidwind.shared.logs import log_event
 
-_CALL_MARGIN_SECONDS = 0.2
-# As long as the lock may be held, and half a second for what is on its way.
-ALTERNATION_SECONDS = HOLD_SECONDS + 0.5
-_LOCK_READ_BACKS = 6
-_LOCK_READ_BACK_SECONDS = 0.15
-
-
-class PromotionLockClient:
-    """Takes and gives back the promotion lock; one change of primary at a time uses it."""
-
-    def __init__(self, node: str, store: PromotionLockStore, rosters: RosterKeeper) -> None:
-        """`rosters` tell which promotions were called under which tokens."""
-        self._node = node
-        self._store = store
-        self._rosters = rosters
-        self._called_at = float("-inf")
-        self._called_with = 0
-        self._observer = LockObserver(node)
-        self._loop = asyncio.get_running_loop()
-        self.in_use = asyncio.Lock()
-
-    def saw(self, record: LockRecord) -> None:
-        """A watch shows the lock: from now on its holder's time runs.
-
-        Gains the same time once more, which would begin with the first attempt to take it.
-        """
-        self._observer.saw(self._loop.time(), record.revision)
-
-    def note_called(self, token: int) -> None:
-        """A promotion was called under a token of this proxy."""
-        self._called_at = self._loop.time()
-        self._called_with = token
-
-    def _would_alternate(self) -> bool:
-        """Whether another holder has promoted since this one did, a moment ago.
-
-        Two holders must not take turns; a third may go on, or this one after a while.
-        """
-        lately = self._loop.time() - self._called_at < ALTERNATION_SECONDS
-        return lately and self._rosters.newest_token() > self._called_with
-
-    async def take(self) -> HeldLock | None:
-        """The lock, None where another holds it or the store does not answer."""
-        if self._would_alternate():
-            log_event("promotion_lock_left", reason="another has promoted since this proxy did")
-            return None
-        try:
-            record = await self._store.read()
-            called = record is not None and self._rosters.promotion_called(record.revision)
-            decision = self._observer.decide(self._loop.time(), record, called)
-            if decision is LockDecision.WAIT:
-                return None
-            return await self._write(record)
-        except PlatformError as error:
-            log_event("promotion_lock_unavailable", reason=str(error))
-            return None
-
-    async def _write(self, record: LockRecord | None) -> HeldLock | None:
-        attempt = secrets.token_hex(8)
-        revision = record.revision if record is not None else 0
-        wanted = LockRecord(self._node, attempt, released=False, revision=revision)
-        sent_at = self._loop.time()
-        try:
-            written = await self._store.write(wanted, create=record is None)
-        except PlatformConflict:
-            return None
-        except PlatformUncertain:
-            return await self._read_back(sent_at, attempt)
-        return held_lock(sent_at, written, attempt)
-
-    async def _read_back(self, sent_at: float, attempt: str) -> HeldLock | None:
-        """The answer was lost: the record itself tells whether the call was carried out."""
-        for _ in range(_LOCK_READ_BACKS):
-            try:
-                record = await self._store.read()
-            except PlatformError as error:
-                log_event("promotion_lock_not_read_back", attempt=attempt, reason=str(error))
-                record = None
-            if record is not None and record.attempt == attempt:
-                return held_lock(sent_at, record, attempt)
-            await asyncio.sleep(_LOCK_READ_BACK_SECONDS)
-        return None
-
-    async def release(self, held: HeldLock) -> None:
-        """Give the lock back; if that fails, others take it over when its time has passed."""
-        record = LockRecord(self._node, "", released=True, revision=held.token)
-        try:
-            await self._store.write(record, create=False)
-        except PlatformError as error:
-            log_event("promotion_lock_not_released", reason=str(error))
-
 
 class FailoverRunner:
     """Drives one change of primary."""
@@ -226,11 +131,10 @@
 
     def _remaining(self) -> float:
         """Seconds for which the lock is surely held; raises LockLost where there are none."""
-        held = self._held
-        left = 0.0 if held is None else held.valid_until - self._loop.time()
-        if left <= _CALL_MARGIN_SECONDS:
+        seconds = usable_seconds(self._held, self._loop.time())
+        if seconds is None:
             raise LockLost("the promotion lock's time has passed")
-        return left
+        return seconds
 
     async def _promote(self, step: Promote, plan: FailoverPlan) -> FailoverStepResult:
         seconds = self._remaining()
@@ -298,9 +202,9 @@
 
 
 def _log_statuses(step: InstanceStep, statuses: Statuses) -> None:
-    told = [
+    answers = [
         f"{item.instance}:{item.role.value}:{item.term}"
         f":{item.received.term}.{item.received.lsn}:{item.fence_term}"
         for item in statuses.values()
     ]
-    log_event("failover_step", step=type(step).__name__, told=" ".join(told))
+    log_event("failover_step", step=type(step).__name__, told=" ".join(answers))
--- a/src/orchidwind/promoted/group/group_supervision.py
+++ b/src/orchidwind/promoted/group/group_supervision.py
@@ -13,9 +13,10 @@
     FailoverReason,
 )
 from orchidwind.promoted.core.supervision import GroupSupervisor, SupervisionDecision
-from orchidwind.promoted.group.failover_runner import FailoverRunner, PromotionLockClient
+from orchidwind.promoted.group.failover_runner import FailoverRunner
 from orchidwind.promoted.group.group_service import GroupService
 from orchidwind.promoted.group.lease_keeper import LeaseKeeper
+from orchidwind.promoted.group.promotion_lock_client import PromotionLockClient
 from orchidwind.promoted.group.roster_keeper import RosterKeeper
 from orchidwind.promoted.metrics import ProxyMetrics
 from orchidwind.promoted.ports import PromotionService
--- /dev/null
+++ b/src/orchidwind/promoted/group/promotion_lock_client.py
@@ -0,0 +1,120 @@
+"""Takes and gives back the promotion lock in the store.
+
+What for: one proxy at a time changes primaries. `core/promotion_lock.py` decides whether the lock
+may be taken and how long it counts; this reads and writes its record.
+
+Owns: what this proxy saw of the lock, and its last promotion call. Relies on: a lock store that
+writes by compare-and-put and whose calls end in bounded time, and the rosters for which promotions
+were called under which tokens.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import secrets
+
+from orchidwind.promoted.core.promotion_lock import (
+    HeldLock,
+    LockDecision,
+    LockObserver,
+    LockRecord,
+    held_lock,
+    would_alternate,
+)
+from orchidwind.promoted.group.roster_keeper import RosterKeeper
+from orchidwind.promoted.ports import PromotionLockStore
+from orchidwind.shared.core.errors import (
+    PlatformConflict,
+    PlatformError,
+    PlatformUncertain,
+)
+from orchidwind.shared.logs import log_event
+
+# How often, and each how many seconds, a lock is read whose write was not answered. Chosen: 0.9 s
+# and the calls; a lock that is known to be held later has hardly any time left.
+_READ_BACKS = 6
+_READ_BACK_SECONDS = 0.15
+
+
+class PromotionLockClient:
+    """Takes and gives back the promotion lock; one change of primary at a time uses it."""
+
+    def __init__(self, node: str, store: PromotionLockStore, rosters: RosterKeeper) -> None:
+        """`rosters` tell which promotions were called under which tokens."""
+        self._node = node
+        self._store = store
+        self._rosters = rosters
+        self._called_at = float("-inf")
+        self._called_with = 0
+        self._observer = LockObserver(node)
+        self._loop = asyncio.get_running_loop()
+        self.in_use = asyncio.Lock()
+
+    def saw(self, record: LockRecord) -> None:
+        """A watch shows the lock: from now on its holder's time runs.
+
+        Gains the same time once more, which would begin with the first attempt to take it.
+        """
+        self._observer.saw(self._loop.time(), record.revision)
+
+    def note_called(self, token: int) -> None:
+        """A promotion was called under a token of this proxy."""
+        self._called_at = self._loop.time()
+        self._called_with = token
+
+    def _would_alternate(self) -> bool:
+        """Whether another holder has promoted since this one did, a moment ago."""
+        since_call = self._loop.time() - self._called_at
+        return would_alternate(since_call, self._called_with, self._rosters.newest_token())
+
+    async def take(self) -> HeldLock | None:
+        """The lock, None where another holds it or the store does not answer."""
+        if self._would_alternate():
+            log_event("promotion_lock_left", reason="another has promoted since this proxy did")
+            return None
+        try:
+            record = await self._store.read()
+            called = record is not None and self._rosters.promotion_called(record.revision)
+            decision = self._observer.decide(self._loop.time(), record, called)
+            if decision is LockDecision.WAIT:
+                return None
+            return await self._write(record)
+        except PlatformError as error:
+            log_event("promotion_lock_unavailable", reason=str(error))
+            return None
+
+    async def _write(self, record: LockRecord | None) -> HeldLock | None:
+        attempt = secrets.token_hex(8)
+        revision = record.revision if record is not None else 0
+        wanted = LockRecord(self._node, attempt, released=False, revision=revision)
+        sent_at = self._loop.time()
+        try:
+            written = await self._store.write(wanted, create=record is None)
+        except PlatformConflict:
+            # Another proxy was faster, and logs that it holds the lock; the caller logs that this
+            # one does not.
+            return None
+        except PlatformUncertain:
+            return await self._read_back(sent_at, attempt)
+        return held_lock(sent_at, written, attempt)
+
+    async def _read_back(self, sent_at: float, attempt: str) -> HeldLock | None:
+        """The answer was lost: the record itself tells whether the call was carried out."""
+        for _ in range(_READ_BACKS):
+            try:
+                record = await self._store.read()
+            except PlatformError as error:
+                log_event("promotion_lock_not_read_back", attempt=attempt, reason=str(error))
+                record = None
+            if record is not None and record.attempt == attempt:
+                return held_lock(sent_at, record, attempt)
+            await asyncio.sleep(_READ_BACK_SECONDS)
+        return None
+
+    async def release(self, held: HeldLock) -> None:
+        """Give the lock back; if that fails, others take it over when its time has passed."""
+        record = LockRecord(self._node, "", released=True, revision=held.token)
+        try:
+            await self._store.write(record, create=False)
+        except PlatformError as error:
+            log_event("promotion_lock_not_released", reason=str(error))
--- a/src/orchidwind/promoted/proxy_runtime.py
+++ b/src/orchidwind/promoted/proxy_runtime.py
@@ -16,11 +16,11 @@
     PromotedConfiguration,
 )
 from orchidwind.promoted.core.homes import ProxyMember
-from orchidwind.promoted.group.failover_runner import PromotionLockClient
 from orchidwind.promoted.group.group_service import GroupService
 from orchidwind.promoted.group.group_supervision import GroupSupervision
 from orchidwind.promoted.group.lease_keeper import LeaseKeeper
 from orchidwind.promoted.group.operator_status import OperatorStatus, group_status
+from orchidwind.promoted.group.promotion_lock_client import PromotionLockClient
 from orchidwind.promoted.group.roster_keeper import RosterKeeper
 from orchidwind.promoted.metrics import ProxyMetrics
 from orchidwind.promoted.peers.peer_network import PeerNetwork
