--- a/src/orchidwind/platform/instances.py
+++ b/src/orchidwind/platform/instances.py
@@ -11,7 +11,7 @@
 from orchidwind.platform import wire
 from orchidwind.promoted.core.commands import InstanceMessage, InstanceStatus, Reply, ReplyCode
 from orchidwind.promoted.core.configuration import DirectoryEntry
-from orchidwind.promoted.group.connections import CONNECTION_LIMIT_MET, OTHER_INSTANCE
+from orchidwind.promoted.group.connection_opener import CONNECTION_LIMIT_MET, OTHER_INSTANCE
 from orchidwind.shared.core.errors import BackendConnectionLost, BackendRefused
 from orchidwind.shared.sockets import client_socket
 
--- a/src/orchidwind/promoted/callers/command_runner.py
+++ b/src/orchidwind/promoted/callers/command_runner.py
@@ -116,13 +116,7 @@
     ) -> StepResult:
         try:
             async with asyncio.timeout_at(deadline):
-                return await group.exchange(
-                    step.connection,
-                    step.messages,
-                    step.proof_of_term,
-                    context.sent_write,
-                    context.arrived_at,
-                )
+                return await group.exchange(step, context.sent_write, context.arrived_at)
         except TimeoutError as error:
             raise RequestError(
                 ErrorKind.STATEMENT_TIMEOUT, "the statement's time passed"
--- /dev/null
+++ b/src/orchidwind/promoted/group/acknowledged_commits.py
@@ -0,0 +1,106 @@
+"""When the commits of one group are acknowledged to their callers, and which were.
+
+Owns: the wait of a commit for its proof (`commit_guard` decides), and the last acknowledged
+commits, which are named in the log when the primary changes, so that a lost one can be traced.
+"""
+
+from __future__ import annotations
+
+import asyncio
+from collections import deque
+from dataclasses import dataclass
+
+from orchidwind.promoted.core.circuit_breaker import Dependency
+from orchidwind.promoted.core.commands import InstanceMessage, Reply
+from orchidwind.promoted.core.topology import GroupTopology
+from orchidwind.promoted.group.commit_guard import CommitGuard
+from orchidwind.promoted.group.group_breakers import GroupBreakers
+from orchidwind.promoted.group.lease_keeper import LeaseKeeper
+from orchidwind.shared.core.errors import BackendConnectionLost
+from orchidwind.shared.core.positions import Position
+from orchidwind.shared.logs import log_event
+
+# Commits that wait for longer are logged, seconds. Chosen: a proof by a replica takes some
+# milliseconds.
+_WAIT_LOGGED_SECONDS = 0.1
+# The last acknowledged commits that are named at a change of primary. Chosen: some 3 s of a busy
+# group's commits at one proxy, which is what a change of primary could leave out.
+_COMMITS_REMEMBERED = 64
+
+
+@dataclass(frozen=True, slots=True)
+class _Commit:
+    request_id: str
+    position: Position
+
+    def __str__(self) -> str:
+        return f"{self.request_id}@{self.position.term}.{self.position.lsn}"
+
+
+class AcknowledgedCommits:
+    """Holds commits back until no change of primary can leave them out."""
+
+    def __init__(
+        self,
+        topology: GroupTopology,
+        guard: CommitGuard,
+        leases: LeaseKeeper,
+        breakers: GroupBreakers,
+    ) -> None:
+        self._topology = topology
+        self._guard = guard
+        self._leases = leases
+        self._breakers = breakers
+        self._loop = asyncio.get_running_loop()
+        self._remembered: deque[_Commit] = deque(maxlen=_COMMITS_REMEMBERED)
+
+    async def wait(self, instance: str, asked: InstanceMessage, reply: Reply) -> None:
+        """Return when a commit may be acknowledged; BackendConnectionLost where it is left out."""
+        position = reply.position or Position(self._topology.primary_term(instance), 0)
+        commit = _Commit(asked.request_id, position)
+        if not self._guard.leased(instance):
+            await self._wait_for_proof(instance, commit)
+        self._leases.note_acknowledged(self._topology.settings.name, position)
+        self._remembered.append(commit)
+        self._breakers.succeeded(Dependency.LEAD_PROOF)
+
+    async def _wait_for_proof(self, instance: str, commit: _Commit) -> None:
+        began = self._loop.time()
+        outcome = "out_of_time"
+        try:
+            proven = await self._guard.may_acknowledge(
+                instance,
+                commit.position,
+                lambda: self._breakers.failed(Dependency.LEAD_PROOF, began),
+            )
+            outcome = "acknowledged" if proven else "left_out"
+        finally:
+            self._log_wait(instance, commit, outcome, self._loop.time() - began)
+        if outcome != "acknowledged":
+            raise BackendConnectionLost("a change of primary has left the commit out", sent=True)
+
+    def _log_wait(self, instance: str, commit: _Commit, outcome: str, seconds: float) -> None:
+        if outcome == "acknowledged" and seconds <= _WAIT_LOGGED_SECONDS:
+            return
+        log_event(
+            "commit_held",
+            request_id=commit.request_id,
+            group=self._topology.settings.name,
+            instance=instance,
+            position=f"{commit.position.term}.{commit.position.lsn}",
+            outcome=outcome,
+            milliseconds=int(seconds * 1000),
+        )
+
+    def log_before(self, term: int) -> None:
+        """A primary of a new term was found: name the last commits of older terms."""
+        remembered = list(self._remembered)
+        self._remembered.clear()
+        older = [commit for commit in remembered if commit.position.term < term]
+        if older:
+            log_event(
+                "commits_acknowledged",
+                group=self._topology.settings.name,
+                before_term=term,
+                commits=" ".join(map(str, older)),
+            )
--- /dev/null
+++ b/src/orchidwind/promoted/group/background_tasks.py
@@ -0,0 +1,29 @@
+"""Tasks that nobody waits for, held until they end and cancelled together, in order of start."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Coroutine
+from typing import Any, TypeVar
+
+Result = TypeVar("Result")
+
+
+class BackgroundTasks:
+    """Keeps a reference to each task: the loop itself keeps none that lasts."""
+
+    def __init__(self) -> None:
+        self._loop = asyncio.get_running_loop()
+        self._tasks: dict[asyncio.Task[Any], None] = {}
+
+    def start(self, work: Coroutine[Any, Any, Result]) -> asyncio.Task[Result]:
+        """Run some work."""
+        task = self._loop.create_task(work)
+        self._tasks[task] = None
+        task.add_done_callback(lambda done: self._tasks.pop(done, None))
+        return task
+
+    def cancel(self) -> None:
+        """End what runs."""
+        for task in list(self._tasks):
+            task.cancel()
--- /dev/null
+++ b/src/orchidwind/promoted/group/connection_records.py
@@ -0,0 +1,75 @@
+"""What is known of each open server connection of one group.
+
+Owns: links, whose they are, what runs on them and when each last delivered something. Connections
+have numbers that are never used twice. Times are in seconds of the loop's clock. Whether a
+connection is idle or held is the pools' matter (`connections`).
+"""
+
+from __future__ import annotations
+
+import asyncio
+from dataclasses import dataclass
+
+from orchidwind.promoted.ports import InstanceLink
+
+
+@dataclass(frozen=True, slots=True)
+class ConnectionAges:
+    """For how many seconds a connection has been open and silent, None where unknown."""
+
+    opened_for: float | None = None
+    silent_for: float | None = None
+
+
+class ConnectionRecords:
+    """The connections by number, in the order of their opening."""
+
+    def __init__(self) -> None:
+        self.links: dict[int, InstanceLink] = {}
+        self.instance_of: dict[int, str] = {}
+        # In the order of their start; an exchange may outlast its connection.
+        self.exchange_began_at: dict[int, float] = {}
+        self._opened_at: dict[int, float] = {}
+        self._delivered_at: dict[int, float] = {}
+        self._loop = asyncio.get_running_loop()
+
+    def opened(self, connection: int, instance: str, link: InstanceLink) -> None:
+        """A connection is open."""
+        self.links[connection] = link
+        self.instance_of[connection] = instance
+        self._delivered_at[connection] = self._opened_at[connection] = self._loop.time()
+
+    def close(self, connection: int) -> None:
+        """Close a connection and forget it."""
+        link = self.links.pop(connection, None)
+        self.instance_of.pop(connection, None)
+        self._delivered_at.pop(connection, None)
+        self._opened_at.pop(connection, None)
+        if link is not None:
+            link.close()
+
+    def note_delivered(self, connection: int) -> None:
+        """An instance delivered something on a connection."""
+        if connection in self.links:
+            self._delivered_at[connection] = self._loop.time()
+
+    def silent_since(self, connection: int, since: float) -> bool:
+        """Whether a connection has delivered nothing since a time, as far as is known."""
+        return self._delivered_at.get(connection, since) <= since
+
+    def ages(self, connection: int | None) -> ConnectionAges:
+        """The ages of a connection; both unknown where there is none."""
+        if connection is None:
+            return ConnectionAges()
+        return ConnectionAges(
+            self._seconds_since(self._opened_at.get(connection)),
+            self._seconds_since(self._delivered_at.get(connection)),
+        )
+
+    def _seconds_since(self, at: float | None) -> float | None:
+        return None if at is None else self._loop.time() - at
+
+    @property
+    def connected_instances(self) -> set[str]:
+        """Instances to which a connection is open."""
+        return set(self.instance_of.values())
--- a/src/orchidwind/promoted/group/connections.py
+++ b/src/orchidwind/promoted/group/connections.py
@@ -1,16 +1,24 @@
-"""The server connections of one promoted group, and the requests that wait for one."""
+"""The server connections of one promoted group, and the requests that wait for one.
+
+Owns: the pool of each instance. It carries out what the pools decide (`shared/core/pool`): grants,
+openings, closings and refusals. Relies on `ConnectionRecords` for what is known of each connection,
+on `ConnectionOpener` for new ones and on `WaitingGrants` for the requests that wait.
+"""
 
 from __future__ import annotations
 
 import asyncio
-from collections.abc import Callable, Coroutine, Iterable
+from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 from itertools import count
-from typing import Any, TypeVar
 
 from orchidwind.promoted.core.group_state import GroupState
-from orchidwind.promoted.ports import InstanceConnector, InstanceLink
-from orchidwind.shared.core.admission import Refusal, TrafficClass
+from orchidwind.promoted.group.background_tasks import BackgroundTasks
+from orchidwind.promoted.group.connection_opener import CONNECTION_LIMIT_MET, ConnectionOpener
+from orchidwind.promoted.group.connection_records import ConnectionRecords
+from orchidwind.promoted.group.waiting_grants import WaitingGrants
+from orchidwind.promoted.ports import InstanceConnector
+from orchidwind.shared.core.admission import TrafficClass
 from orchidwind.shared.core.concurrency_window import ConcurrencyWindow
 from orchidwind.shared.core.errors import (
     BackendConnectionLost,
@@ -27,17 +35,14 @@
 )
 from orchidwind.shared.logs import log_event
 
-CONNECT_SECONDS = 0.6
-CONNECTION_LIMIT_MET = "53300"
-# Another instance answers at the address: the one that was named has ended.
-OTHER_INSTANCE = "08001"
+# Shortest pause before a pool is looked at again, seconds. Chosen: bounds the wake-ups.
 _SHORTEST_RETRY_SECONDS = 0.01
-_FEWEST_CONNECTIONS = 2
-# An instance that had no room is taken to have none for so long, unless a connection opens.
-_REFUSED_SECONDS = 1.0
-_TRY_AGAIN_SECONDS = 0.25
-
-T = TypeVar("T")
+# Connections to each instance before the placement of homes is known. Chosen: one for statements
+# and one beside it.
+_CONNECTIONS_BEFORE_PLACEMENT = 2
+# Seconds after which a connection is tried again where the instance had no room. Requests go
+# elsewhere meanwhile. Chosen: an attempt that is turned away costs the instance nothing.
+_OPEN_AGAIN_SECONDS = 0.25
 
 
 @dataclass(frozen=True, slots=True)
@@ -49,7 +54,10 @@
 
 
 class GroupConnections:
-    """Pools and links. `on_suspect` is told of instances whose connections broke."""
+    """`on_suspect` gets instances whose connections broke, `on_unreachable` those without answer.
+
+    Times are in seconds of the loop's clock.
+    """
 
     def __init__(
         self,
@@ -58,144 +66,121 @@
         on_suspect: Callable[[str], None],
         on_unreachable: Callable[[str], None],
     ) -> None:
-        self.links: dict[int, InstanceLink] = {}
-        self.instance_of: dict[int, str] = {}
-        self.in_exchange: dict[int, float] = {}
-        self._heard_at: dict[int, float] = {}
-        self._opened_at: dict[int, float] = {}
+        self.records = ConnectionRecords()
+        self.opener = ConnectionOpener(state.topology, connector)
         self._state = state
         self._topology = state.topology
-        self._connector = connector
         self._on_suspect = on_suspect
         self._on_unreachable = on_unreachable
         self._loop = asyncio.get_running_loop()
         self._numbers = count(1)
-        self._tickets = count(1)
         self._pools: dict[str, InstancePool] = {}
-        self._grants: dict[int, tuple[str, asyncio.Future[int]]] = {}
-        self._tasks: set[asyncio.Task[Any]] = set()
-        self._refused_until: dict[str, float] = {}
-        self._share = _FEWEST_CONNECTIONS
-        self._closed = False
+        self._waiting = WaitingGrants()
+        self._tasks = BackgroundTasks()
+        self._share = _CONNECTIONS_BEFORE_PLACEMENT
 
     # --- requests -----------------------------------------------------------------------------
 
-    async def need(self, instance: str, traffic_class: TrafficClass, deadline: float) -> int:
+    async def acquire(self, instance: str, traffic_class: TrafficClass, deadline: float) -> int:
         """Wait for a server connection; raises RequestError, BackendConnectionLost."""
-        if self._closed:
+        if self.opener.closed:
             raise RequestError(ErrorKind.PROXY_STOPPING, "this proxy has stopped")
         pool = self.pool(instance)
-        ticket = next(self._tickets)
-        granted: asyncio.Future[int] = self._loop.create_future()
-        self._grants[ticket] = (instance, granted)
-        self._perform(pool.acquire(ticket, traffic_class, self._loop.time(), deadline))
+        waiting = self._waiting.add(instance)
+        self._perform(pool.acquire(waiting.ticket, traffic_class, self._loop.time(), deadline))
         try:
             async with asyncio.timeout_at(deadline):
-                return await granted
+                return await waiting.granted
         except TimeoutError as error:
-            pool.cancel(ticket)
+            pool.cancel(waiting.ticket)
             raise RequestError(
                 ErrorKind.DEADLINE_PASSED, f"no connection to {instance} was free in time"
             ) from error
         finally:
-            self._grants.pop(ticket, None)
-            if granted.cancelled():
-                pool.cancel(ticket)
+            self._waiting.remove(waiting.ticket)
+            if waiting.granted.cancelled():
+                pool.cancel(waiting.ticket)
 
     def release(self, connection: int, reusable: bool) -> None:
         """Give a connection back."""
-        instance = self.instance_of.get(connection)
+        instance = self.records.instance_of.get(connection)
         if instance is None:
             return
         view = self._topology.instances.get(instance)
-        keep = reusable and view is not None and view.unreachable_since is None
-        self._perform(self.pool(instance).release(connection, self._loop.time(), keep))
+        reusable = reusable and view is not None and view.unreachable_since is None
+        self._perform(self.pool(instance).release(connection, self._loop.time(), reusable))
 
     def exchange_began(self, connection: int) -> None:
         """Messages are sent on a connection."""
-        self.in_exchange[connection] = self._loop.time()
-        instance = self.instance_of.get(connection)
+        self.records.exchange_began_at[connection] = self._loop.time()
+        instance = self.records.instance_of.get(connection)
         if instance is not None:
             self.pool(instance).exchange_began(connection)
 
     def exchange_ended(self, connection: int, rejected: bool | None) -> None:
         """They were answered, `rejected` where the instance had no room; None: they were not."""
-        began = self.in_exchange.pop(connection)
-        instance = self.instance_of.get(connection)
-        if instance is not None:
-            now = self._loop.time()
-            if rejected is not None:
-                self._heard_at[connection] = now
-            pool = self.pool(instance)
-            self._perform(pool.exchange_ended(connection, now - began, rejected, now))
+        began = self.records.exchange_began_at.pop(connection)
+        instance = self.records.instance_of.get(connection)
+        if instance is None:
+            return
+        if rejected is not None:
+            self.records.note_delivered(connection)
+        now = self._loop.time()
+        pool = self.pool(instance)
+        self._perform(pool.exchange_ended(connection, now - began, rejected, now))
+
+    # --- the proxy's own use ------------------------------------------------------------------
 
     def borrow_idle(self, instance: str) -> int | None:
-        """Take an idle connection for the proxy's own use, None where there is none."""
+        """Take an idle connection, None where there is none."""
         return self.pool(instance).borrow_idle(self._loop.time())
 
-    def take_unheard(self, instance: str, since: float) -> list[int]:
-        """Take idle connections that have said nothing since a time, for the proxy's own use."""
+    def borrow_idle_silent(self, instance: str, since: float) -> list[int]:
+        """Take the idle connections that have delivered nothing since a time."""
         pool = self.pool(instance)
-        unheard = [item for item in pool.idle if self._heard_at.get(item, since) <= since]
-        return [item for item in unheard if pool.take_idle(item, self._loop.time())]
+        silent = [item for item in pool.idle if self.records.silent_since(item, since)]
+        return [item for item in silent if pool.take_idle(item, self._loop.time())]
 
-    def resting(self, instance: str, since: float) -> list[int]:
-        """Connections that requests hold, but use for nothing, and unheard since a time.
+    def resting_silent(self, instance: str, since: float) -> list[int]:
+        """Connections that requests hold, with nothing running, silent since a time.
 
         Those of transactions whose callers think, mostly.
         """
         pool = self._pools.get(instance)
         held = pool.busy if pool is not None else {}
+        records = self.records
         return [
             item
             for item in held
-            if item not in self.in_exchange and self._heard_at.get(item, since) <= since
+            if item not in records.exchange_began_at and records.silent_since(item, since)
         ]
 
-    def note_heard(self, connection: int) -> None:
-        """An instance spoke on a connection."""
-        if connection in self.links:
-            self._heard_at[connection] = self._loop.time()
-
-    def ages(self, connection: int) -> tuple[float | None, float | None]:
-        """For how long a connection has been open, and unheard; seconds, None where unknown."""
-        now = self._loop.time()
-        opened_at = self._opened_at.get(connection)
-        heard_at = self._heard_at.get(connection)
-        return (
-            None if opened_at is None else now - opened_at,
-            None if heard_at is None else now - heard_at,
-        )
-
-    def lose_resting(self, connection: int) -> None:
-        """A connection that a request holds is silent: it is closed, and its place is free.
+    def close_resting(self, connection: int) -> None:
+        """Close a connection that a request may hold; its place is free.
 
         Who holds it finds it closed at its next message. A message that left meanwhile stays with
         its own time limit, as it may have run.
         """
-        instance = self.instance_of.get(connection)
-        if instance is None or connection in self.in_exchange:
+        instance = self.records.instance_of.get(connection)
+        if instance is None or connection in self.records.exchange_began_at:
             return
         self._close(connection)
         pool = self.pool(instance)
         self._perform(pool.lost(connection, self._loop.time()))
         self._retry_open(pool)
 
+    # --- usage --------------------------------------------------------------------------------
+
     def usage(self, instance: str) -> PoolUsage:
         """How many connections to an instance are open, and how many requests wait."""
         pool = self._pools.get(instance)
         return PoolUsage(pool.size, len(pool.queue)) if pool else PoolUsage(0, 0)
 
     @property
-    def holding(self) -> list[str]:
+    def held_instances(self) -> list[str]:
         """Instances to which a request holds a connection, in the order of their first use."""
         return [name for name, pool in self._pools.items() if pool.busy]
 
-    @property
-    def opened(self) -> set[str]:
-        """Instances to which a connection is open."""
-        return set(self.instance_of.values())
-
     @property
     def busy(self) -> int:
         """Connections that requests or transactions hold."""
@@ -208,11 +193,7 @@
         After the loss of all proxies an instance counts their old connections for some seconds:
         the first that return take what is left, and the others have none.
         """
-        now = self._loop.time()
-        return any(
-            now < until and self._lacks_connections(instance)
-            for instance, until in self._refused_until.items()
-        )
+        return any(self._lacks_connections(name) for name in self.opener.without_room())
 
     def _lacks_connections(self, instance: str) -> bool:
         pool = self._pools.get(instance)
@@ -240,7 +221,7 @@
             self._perform(pool.set_share(share, self._loop.time()))
 
     def trim(self) -> None:
-        """Close connections that were not needed lately."""
+        """Close connections that were not used lately."""
         for pool in self._pools.values():
             self._perform(pool.trim())
 
@@ -255,7 +236,7 @@
         if pool is None:
             return
         self._close_idle_of(pool)
-        self._turn_away(pool)
+        self._waiting.turn_away(pool)
         self._retry_open(pool)
 
     def _close_idle_of(self, pool: InstancePool) -> None:
@@ -267,64 +248,32 @@
         """An instance left long ago."""
         self.drop_idle(instance)
         self._pools.pop(instance, None)
-        self._refused_until.pop(instance, None)
+        self.opener.forget(instance)
+
+    # --- what the pools decide ----------------------------------------------------------------
 
     def _perform(self, effects: Iterable[PoolEffect]) -> None:
         for effect in effects:
             if isinstance(effect, Grant):
                 self._grant(effect)
             elif isinstance(effect, OpenConnection):
-                self._spawn(self._open(effect))
+                self._tasks.start(self._open(effect))
             elif isinstance(effect, CloseConnection):
                 self._close(effect.connection)
             else:
-                self._refuse(effect)
+                self._waiting.refuse(effect)
 
     def _grant(self, grant: Grant) -> None:
-        _, waiting = self._grants.get(grant.ticket, ("", None))
-        if waiting is not None and not waiting.done():
-            waiting.set_result(grant.connection)
-        else:
+        if not self._waiting.grant(grant):
             self._loop.call_soon(self.release, grant.connection, True)
 
-    def _refuse(self, refusal: Refusal) -> None:
-        _, waiting = self._grants.get(refusal.ticket, ("", None))
-        if waiting is not None and not waiting.done():
-            error = RequestError(
-                ErrorKind.OVERLOADED,
-                "too many requests wait",
-                retry_after_milliseconds=int(refusal.retry_after * 1000),
-            )
-            waiting.set_exception(error)
-
-    def _turn_away(self, pool: InstancePool) -> None:
-        for ticket, (instance, waiting) in list(self._grants.items()):
-            if instance == pool.instance and not waiting.done():
-                pool.cancel(ticket)
-                waiting.set_exception(BackendConnectionLost("no answer", sent=False))
-
-    # --- links --------------------------------------------------------------------------------
-
-    async def connect(self, instance: str, on_lost: Callable[[], None]) -> InstanceLink:
-        """Open a connection; raises BackendRefused, BackendConnectionLost."""
-        if self._closed:
-            raise BackendConnectionLost("this proxy has stopped", sent=False)
-        view = self._topology.instances.get(instance)
-        if view is None:
-            raise BackendConnectionLost("the instance is unknown", sent=False)
-        try:
-            async with asyncio.timeout(CONNECT_SECONDS):
-                return await self._connector.connect(view.entry, on_lost)
-        except TimeoutError as error:
-            raise BackendConnectionLost("no answer to a new connection", sent=False) from error
-
     async def open_first(self, instance: str) -> None:
         """Open a connection to an instance where there is none, and wait for it.
 
         Raises BackendRefused, BackendConnectionLost. Who stops waiting leaves it to be opened.
         """
         for effect in self.pool(instance).open_one():
-            error = await asyncio.shield(self._spawn(self._open(effect)))
+            error = await asyncio.shield(self._tasks.start(self._open(effect)))
             if error is not None:
                 raise error
 
@@ -333,72 +282,56 @@
         number, instance = effect.connection, effect.instance
         pool = self.pool(instance)
         try:
-            link = await self.connect(instance, lambda: self._lost_outside_exchange(number))
+            link = await self.opener.open(instance, lambda: self._lost_outside_exchange(number))
         except BackendRefused as refused:
-            limit_met = refused.sqlstate == CONNECTION_LIMIT_MET
             log_event("connection_refused", instance=instance, reason=str(refused))
+            limit_met = refused.sqlstate == CONNECTION_LIMIT_MET
             if limit_met:
-                self.note_no_room(instance)
-                self._loop.call_later(_TRY_AGAIN_SECONDS, self._try_again, pool)
-            self._perform(pool.open_failed(number, self._loop.time(), limit_met))
-            self._retry_open(pool)
+                self.opener.note_no_room(instance)
+                self._loop.call_later(_OPEN_AGAIN_SECONDS, self._open_again, pool)
+            self._open_failed(pool, number, limit_met)
             return refused
         except BackendConnectionLost as lost:
             log_event("connection_failed", instance=instance, reason=str(lost))
             self._on_unreachable(instance)
-            self._perform(pool.open_failed(number, self._loop.time(), limit_met=False))
-            self._retry_open(pool)
+            self._open_failed(pool, number, limit_met=False)
             return lost
-        self.links[number] = link
-        self.instance_of[number] = instance
-        self._heard_at[number] = self._opened_at[number] = self._loop.time()
+        self.records.opened(number, instance, link)
         self._state.connection_opened(number)
         self._topology.answered(instance, self._loop.time())
         self._perform(pool.opened(number, self._loop.time()))
         return None
 
-    def note_no_room(self, instance: str) -> None:
-        """An instance takes no more connections."""
-        self._refused_until[instance] = self._loop.time() + _REFUSED_SECONDS
+    def _open_failed(self, pool: InstancePool, connection: int, limit_met: bool) -> None:
+        self._perform(pool.open_failed(connection, self._loop.time(), limit_met))
+        self._retry_open(pool)
 
-    def _try_again(self, pool: InstancePool) -> None:
+    def _open_again(self, pool: InstancePool) -> None:
         """Requests go elsewhere meanwhile, so nobody waits here: open one all the same."""
-        if not self._closed and self._pools.get(pool.instance) is pool:
+        if not self.opener.closed and self._pools.get(pool.instance) is pool:
             self._perform(pool.open_one())
 
     def _retry_open(self, pool: InstancePool) -> None:
         due = pool.deadline()
-        if due is not None and not self._closed:
+        if due is not None and not self.opener.closed:
             wait = max(due, self._loop.time() + _SHORTEST_RETRY_SECONDS)
             self._loop.call_at(wait, lambda: self._perform(pool.tick(self._loop.time())))
 
     def _lost_outside_exchange(self, connection: int) -> None:
-        instance = self.instance_of.get(connection)
-        if instance is None or connection in self.in_exchange:
+        instance = self.records.instance_of.get(connection)
+        if instance is None or connection in self.records.exchange_began_at:
             return
-        self.lose_resting(connection)
+        self.close_resting(connection)
         self._on_suspect(instance)
 
     def _close(self, connection: int) -> None:
-        link = self.links.pop(connection, None)
-        self.instance_of.pop(connection, None)
-        self._heard_at.pop(connection, None)
-        self._opened_at.pop(connection, None)
         self._state.connection_closed(connection)
-        if link is not None:
-            link.close()
-
-    def _spawn(self, work: Coroutine[Any, Any, T]) -> asyncio.Task[T]:
-        task = self._loop.create_task(work)
-        self._tasks.add(task)
-        task.add_done_callback(self._tasks.discard)
-        return task
+        self.records.close(connection)
 
     def close(self) -> None:
         """Close every connection."""
-        self._closed = True
-        for task in self._tasks:
-            task.cancel()
-        for connection in list(self.links):
+        self.opener.close()
+        self._tasks.cancel()
+        for connection in list(self.records.links):
             self._close(connection)
         self._pools.clear()
--- /dev/null
+++ b/src/orchidwind/promoted/group/exchanges.py
@@ -0,0 +1,179 @@
+"""Exchanges of messages with the instances of one group.
+
+Owns: the way of one exchange: it is sent, together with the proof of the lead that it relies on;
+a commit is held back until it may be acknowledged. Relies on `OutstandingWrites` and `OwedAnswers`
+to notice those that stay without an answer, and on `LeadProver` and `AcknowledgedCommits` for the
+proofs.
+"""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+from dataclasses import dataclass
+
+from orchidwind.promoted.core.circuit_breaker import Dependency
+from orchidwind.promoted.core.commands import InstanceMessage, MessageKind, Reply, ReplyCode
+from orchidwind.promoted.core.steps import Exchange, ExchangeResult
+from orchidwind.promoted.core.topology import GroupTopology
+from orchidwind.promoted.group.acknowledged_commits import AcknowledgedCommits
+from orchidwind.promoted.group.connections import GroupConnections
+from orchidwind.promoted.group.group_breakers import GroupBreakers
+from orchidwind.promoted.group.lead_prover import LeadProver, StatusTask
+from orchidwind.promoted.group.outstanding_writes import OutstandingWrites
+from orchidwind.promoted.group.owed_answers import OwedAnswers
+from orchidwind.promoted.metrics import ProxyMetrics
+from orchidwind.promoted.ports import InstanceLink
+from orchidwind.shared.core.errors import BackendConnectionLost
+
+
+@dataclass(frozen=True, slots=True)
+class ExchangeParts:
+    """What the exchanges of one group rely on.
+
+    `on_unproven` is called where a proof of the lead failed: the primary may have been replaced.
+    """
+
+    topology: GroupTopology
+    connections: GroupConnections
+    writes: OutstandingWrites
+    owed: OwedAnswers
+    prover: LeadProver
+    commits: AcknowledgedCommits
+    breakers: GroupBreakers
+    metrics: ProxyMetrics
+    on_unproven: Callable[[], None]
+
+
+@dataclass(frozen=True, slots=True)
+class _SentExchange:
+    """An exchange as it is sent; `sent_at` is in seconds of the loop's clock."""
+
+    step: Exchange
+    instance: str
+    sent_at: float
+    writes: bool
+
+
+@dataclass(frozen=True, slots=True)
+class _ProofUnderWay:
+    """What an exchange relies on for the lead: the lease, a query of a replica, or neither.
+
+    `lock_revision` is the promotion lock's when the query was asked for.
+    """
+
+    leased: bool
+    query: StatusTask | None
+    lock_revision: int | None
+
+
+class Exchanges:
+    """Runs the exchanges. Times are in seconds of the loop's clock."""
+
+    def __init__(self, parts: ExchangeParts) -> None:
+        self._topology = parts.topology
+        self._connections = parts.connections
+        self._writes = parts.writes
+        self._owed = parts.owed
+        self._prover = parts.prover
+        self._commits = parts.commits
+        self._breakers = parts.breakers
+        self._metrics = parts.metrics
+        self._on_unproven = parts.on_unproven
+        self._loop = asyncio.get_running_loop()
+
+    async def run(self, step: Exchange, writes: bool, arrived_at: float) -> ExchangeResult:
+        """Send messages and wait for the replies; raises BackendConnectionLost.
+
+        `writes` tells that a commit may come of it, `arrived_at` when its request arrived.
+        """
+        link = self._connections.records.links.get(step.connection)
+        if link is None:
+            raise BackendConnectionLost("the connection is closed", sent=False)
+        instance = self._connections.records.instance_of[step.connection]
+        sent = _SentExchange(step, instance, self._loop.time(), writes)
+        self._begin(sent)
+        proof = self._begin_proof(sent, arrived_at)
+        replies = await self._send(link, sent)
+        if writes and replies[-1].done:
+            await self._acknowledge(sent, replies[-1])
+        self._count(sent, replies[-1])
+        self._topology.answered(instance, self._loop.time())
+        return ExchangeResult(replies, await self._led_at(sent, proof, arrived_at))
+
+    def _begin(self, sent: _SentExchange) -> None:
+        self._connections.exchange_began(sent.step.connection)
+        self._owed.watch()
+        if sent.writes:
+            self._writes.began(sent.step.connection)
+            self._prover.want_lease()
+
+    def _begin_proof(self, sent: _SentExchange, arrived_at: float) -> _ProofUnderWay:
+        """Ask for the proof beside the exchange, so that it takes no time of its own."""
+        wanted = sent.step.proof_of_term > 0
+        leased = wanted and self._prover.leased(sent.instance, arrived_at)
+        query = self._prover.join() if wanted and not leased else None
+        return _ProofUnderWay(leased, query, self._prover.lock_revision)
+
+    async def _send(self, link: InstanceLink, sent: _SentExchange) -> tuple[Reply, ...]:
+        for message in sent.step.messages:
+            self._metrics.message(message.kind.value)
+        rejected: bool | None = None
+        try:
+            replies = await link.exchange(sent.step.messages)
+            rejected = replies[-1].code is ReplyCode.BUSY
+            return replies
+        except BackendConnectionLost:
+            self._owed.connection_broke(sent.instance)
+            raise
+        finally:
+            self._end(sent, rejected)
+
+    def _end(self, sent: _SentExchange, rejected: bool | None) -> None:
+        self._connections.exchange_ended(sent.step.connection, rejected)
+        self._writes.ended(sent.step.connection)
+        if sent.writes:
+            waited = self._writes.waited(sent.instance, sent.sent_at, self._loop.time())
+            self._breakers.commit_waited(waited)
+
+    async def _acknowledge(self, sent: _SentExchange, reply: Reply) -> None:
+        self._writes.acknowledged(sent.instance, self._loop.time())
+        self._breakers.succeeded(Dependency.COMMIT)
+        await self._commits.wait(sent.instance, sent.step.messages[-1], reply)
+
+    def _count(self, sent: _SentExchange, reply: Reply) -> None:
+        leads = self._topology.primary_term(sent.instance) > 0
+        kind = _counted_as(sent.step, sent.step.messages[-1], sent.writes)
+        self._metrics.attempt(kind, "primary" if leads else "replica", reply.code.value)
+
+    async def _led_at(
+        self, sent: _SentExchange, proof: _ProofUnderWay, arrived_at: float
+    ) -> float | None:
+        """When the instance is proven to have led; None where that is not known."""
+        if proof.leased:
+            self._breakers.succeeded(Dependency.LEAD_PROOF)
+            return arrived_at
+        if proof.query is None:
+            return None
+        if not await self.proves(proof.query, sent.step.proof_of_term, sent.sent_at):
+            return None
+        self._prover.proven_under(sent.instance, proof.lock_revision)
+        return sent.sent_at
+
+    async def proves(self, query: StatusTask, term: int, since: float) -> bool:
+        """Whether a query, asked for at a time, shows that nobody leads in a later term."""
+        proven = await self._prover.proves(query, term)
+        if proven:
+            self._breakers.succeeded(Dependency.LEAD_PROOF)
+        else:
+            self._breakers.failed(Dependency.LEAD_PROOF, since)
+            self._on_unproven()
+        return proven
+
+
+def _counted_as(step: Exchange, asked: InstanceMessage, writes: bool) -> str:
+    if asked.kind in (MessageKind.BEGIN, MessageKind.BEGIN_READ_ONLY):
+        return "begin"
+    if writes:
+        return "write"
+    return "latest" if step.proof_of_term else "read"
--- /dev/null
+++ b/src/orchidwind/promoted/group/silent_connections.py
@@ -0,0 +1,201 @@
+"""Finds and closes the server connections of one group that have fallen silent.
+
+Owns: the checks of idle connections, of those that transactions hold at rest, and of those on which
+reads run; one line and one count for each that is found. The rule and its times are in
+`core/instance_silence`. Relies on `StatusCalls` for a new connection to compare with: where that
+does not answer either, the instance may be at fault and no connection counts as silent.
+"""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Iterable, Mapping
+from typing import TypeVar
+
+from orchidwind.promoted.core.instance_silence import (
+    ANSWER_OVERDUE_SECONDS,
+    CONNECTION_CHECK_PAUSE_SECONDS,
+    SILENT_AFTER_NEW_SECONDS,
+    STATUS_HEDGE_SECONDS,
+    STATUS_SECONDS,
+    InstancePauses,
+    resting_answer_time_left,
+)
+from orchidwind.promoted.core.topology import GroupTopology
+from orchidwind.promoted.group.background_tasks import BackgroundTasks
+from orchidwind.promoted.group.connections import GroupConnections
+from orchidwind.promoted.group.outstanding_writes import OutstandingWrites
+from orchidwind.promoted.group.resting_connections import RestingConnections
+from orchidwind.promoted.group.status_calls import StatusCalls, status_query
+from orchidwind.shared.core.errors import BackendConnectionLost, BackendRefused
+from orchidwind.shared.logs import log_event
+from orchidwind.shared.silence import ConnectionKind, OnSilent, SilentConnection
+
+Answer = TypeVar("Answer")
+
+
+class SilentConnections:
+    """Times are in seconds of the loop's clock."""
+
+    def __init__(
+        self,
+        topology: GroupTopology,
+        connections: GroupConnections,
+        writes: OutstandingWrites,
+        calls: StatusCalls,
+        on_silent: OnSilent,
+    ) -> None:
+        self._topology = topology
+        self._connections = connections
+        self._writes = writes
+        self._calls = calls
+        self._on_silent = on_silent
+        self._loop = asyncio.get_running_loop()
+        self._tasks = BackgroundTasks()
+        self._check_pauses = InstancePauses(CONNECTION_CHECK_PAUSE_SECONDS)
+        self.resting = RestingConnections(connections, self.close_silent_resting)
+
+    def check(self, instance: str, since: float) -> None:
+        """An exchange has had no answer since a time: its connection may not be the only one."""
+        now = self._loop.time()
+        if not self._check_pauses.due(instance, now):
+            return
+        self._check_pauses.begin(instance, now)
+        self.resting.check(instance, since)
+        self._tasks.start(self._check_idle_and_running(instance, since))
+
+    async def _check_idle_and_running(self, instance: str, since: float) -> None:
+        if not await self._close_silent_idle(instance, since):
+            return
+        reads = self._writes.reads_at(instance, self._loop.time() - ANSWER_OVERDUE_SECONDS)
+        for connection in reads:
+            decision = "its read goes elsewhere, its transaction is lost"
+            self._found(ConnectionKind.INSTANCE_RUNNING, instance, connection, decision, owed=1)
+        self._end(reads)
+
+    def end_reads(self, instance: str) -> None:
+        """End what may run elsewhere, as an instance does not answer.
+
+        A write that has left may still be answered, so it goes on.
+        """
+        self._end(self._writes.reads_at(instance, self._loop.time()))
+
+    def _end(self, reads: list[int]) -> None:
+        for connection in reads:
+            self._connections.records.links[connection].close()
+
+    async def _close_silent_idle(self, instance: str, since: float) -> int:
+        """Close idle connections that say nothing while a new one answers; how many.
+
+        Only those that have delivered nothing since a time are asked.
+        """
+        taken = self._connections.borrow_idle_silent(instance, since)
+        if not taken:
+            return 0
+        asking = {
+            self._loop.create_task(self._calls.ask_on_borrowed(item, status_query)): item
+            for item in taken
+        }
+        silent: list[int] = []
+        try:
+            async with asyncio.timeout(STATUS_SECONDS):
+                await self._calls.ask_anew(instance, status_query)
+                await asyncio.wait(asking, timeout=SILENT_AFTER_NEW_SECONDS)
+            silent = _unanswered(asking)
+            for connection in silent:
+                self._found(ConnectionKind.INSTANCE_IDLE, instance, connection, "close it")
+        except (BackendRefused, BackendConnectionLost, TimeoutError) as error:
+            log_event("silence_not_confirmed", instance=instance, reason=repr(error))
+            await asyncio.wait(asking, timeout=STATUS_SECONDS)
+        finally:
+            # A connection whose query is cancelled is closed as it goes back to the pool.
+            await _cancel(asking)
+        return len(silent)
+
+    async def close_silent_resting(self, instance: str, since: float) -> int:
+        """Close held connections that rest and say nothing while a new one answers; how many.
+
+        Only those that have delivered nothing since a time are asked.
+        """
+        resting = self._connections.resting_silent(instance, since)
+        if not resting:
+            return 0
+        asking = {self._loop.create_task(self._ask_resting(item)): item for item in resting}
+        try:
+            silent = await self._silent_resting(instance, asking)
+        except (BackendRefused, BackendConnectionLost, TimeoutError) as error:
+            log_event("silence_not_confirmed", instance=instance, reason=repr(error))
+            silent = []
+        finally:
+            await _cancel(asking)
+        for connection in silent:
+            self._close_resting(instance, connection)
+        return len(silent)
+
+    async def _silent_resting(
+        self, instance: str, asking: Mapping[asyncio.Task[None], int]
+    ) -> list[int]:
+        asked_at = self._loop.time()
+        _, waiting = await asyncio.wait(asking, timeout=STATUS_HEDGE_SECONDS)
+        if not waiting:
+            return []
+        async with asyncio.timeout(STATUS_SECONDS):
+            await self._calls.ask_anew(instance, status_query)
+        left = resting_answer_time_left(asked_at, self._loop.time())
+        await asyncio.wait(waiting, timeout=left)
+        return _unanswered(asking)
+
+    def _close_resting(self, instance: str, connection: int) -> None:
+        runs = connection in self._connections.records.exchange_began_at
+        decision = "its transaction is lost"
+        self._found(
+            ConnectionKind.INSTANCE_RESTING, instance, connection, decision, owed=1 if runs else 0
+        )
+        self._connections.close_resting(connection)
+
+    async def _ask_resting(self, connection: int) -> None:
+        """Ask on a connection that somebody else holds, whatever the answer; it stays theirs."""
+        link = self._connections.records.links.get(connection)
+        if link is None:
+            return
+        try:
+            await link.status()
+        except BackendRefused:
+            # Silent: the instance has no room for the query, but the connection delivers.
+            pass
+        except BackendConnectionLost:
+            # Silent: who holds the connection learns of it and logs it.
+            return
+        self._connections.records.note_delivered(connection)
+
+    def _found(
+        self,
+        kind: ConnectionKind,
+        instance: str,
+        connection: int,
+        decision: str,
+        owed: int = 0,
+    ) -> None:
+        ages = self._connections.records.ages(connection)
+        group = self._topology.settings.name
+        self._on_silent(
+            SilentConnection(
+                kind, instance, ages.opened_for, ages.silent_for, owed, decision, group
+            )
+        )
+
+    def close(self) -> None:
+        """Check no more."""
+        self._tasks.cancel()
+        self.resting.close()
+
+
+def _unanswered(asking: Mapping[asyncio.Task[Answer], int]) -> list[int]:
+    """Connections whose query has not ended, in the order in which they were asked."""
+    return [connection for task, connection in asking.items() if not task.done()]
+
+
+async def _cancel(asking: Iterable[asyncio.Task[Answer]]) -> None:
+    for task in asking:
+        task.cancel()
+    await asyncio.gather(*asking, return_exceptions=True)
--- a/src/orchidwind/promoted/proxy_runtime.py
+++ b/src/orchidwind/promoted/proxy_runtime.py
@@ -17,7 +17,7 @@
 )
 from orchidwind.promoted.core.homes import ProxyMember
 from orchidwind.promoted.group.failover_runner import PromotionLockClient
-from orchidwind.promoted.group.group_service import GroupService
+from orchidwind.promoted.group.group_service import GroupEnvironment, GroupService
 from orchidwind.promoted.group.group_supervision import GroupSupervision
 from orchidwind.promoted.group.lease_keeper import LeaseKeeper
 from orchidwind.promoted.group.operator_status import OperatorStatus, group_status
@@ -227,16 +227,15 @@
         assert self.configuration is not None
         wake = asyncio.Event()
         settings = self.configuration.groups[name]
-        group = GroupService(
-            settings,
-            self.zone,
-            self._ports.connector,
-            wake.set,
-            self.metrics,
-            self.leases,
-            self._bounds.entry_outlives,
-            self._coordinate,
+        environment = GroupEnvironment(
+            zone=self.zone,
+            connector=self._ports.connector,
+            metrics=self.metrics,
+            leases=self.leases,
+            entry_outlives=self._bounds.entry_outlives,
+            on_used=self._coordinate,
         )
+        group = GroupService(settings, environment, wake.set)
         self.groups[name] = group
         for entry in self.directory.values():
             if entry.group == name:
--- a/src/orchidwind_bench/promoted/simulation/fleet.py
+++ b/src/orchidwind_bench/promoted/simulation/fleet.py
@@ -337,5 +337,8 @@
         """Those of the pools in the order of their opening, then those for status queries."""
         for node in self.nodes.values():
             for group in node.groups.values():
-                held = (*group.connections.links.values(), *group._calls._control.values())
+                held = (
+                    *group.connections.records.links.values(),
+                    *group.status_calls.links.values(),
+                )
                 yield from (item.link for item in held if isinstance(item, FleetLink))
