--- a/src/orchidwind/promoted/group/group_service.py
+++ b/src/orchidwind/promoted/group/group_service.py
@@ -29,8 +29,9 @@
     PromotedGroupSettings,
 )
 from orchidwind.promoted.core.group_state import GroupState
+from orchidwind.promoted.core.read_planning import ReadPlan, ReadRequest, plan_read
 from orchidwind.promoted.core.steps import Exchange, ExchangeResult
-from orchidwind.promoted.core.topology import PrimaryView, ReadPlan
+from orchidwind.promoted.core.topology import PrimaryView
 from orchidwind.promoted.group.acknowledged_commits import AcknowledgedCommits
 from orchidwind.promoted.group.background_tasks import BackgroundTasks
 from orchidwind.promoted.group.commit_guard import CommitGuard
@@ -193,21 +194,23 @@
             )
         self.changed()
 
-    def entry_gone(self, instance: str, lapsed: bool = False) -> None:
-        """The directory no longer lists an instance; `lapsed`: nobody saw its entry go."""
-        self.topology.entry_gone(instance, self._loop.time(), lapsed)
-        log_event("instance_gone", group=self.settings.name, instance=instance, lapsed=lapsed)
+    def entry_gone(self, instance: str, removal_unseen: bool = False) -> None:
+        """The directory no longer lists an instance; `removal_unseen`: it may come back."""
+        self.topology.entry_gone(instance, self._loop.time(), removal_unseen)
+        log_event(
+            "instance_gone", group=self.settings.name, instance=instance, lapsed=removal_unseen
+        )
         self.changed()
 
     async def forget_old(self) -> None:
         """Drop what belongs to instances that left long ago, if others have their logs."""
-        if self.supervised and self.topology.to_forget(self._loop.time()):
+        if self.supervised and self.topology.confirming.some_due(self._loop.time()):
             # The primary first: what it has by then, the others must have afterwards.
             views = self.topology.instances.items()
             listed = [name for name, view in views if view.listed]
             for name in sorted(listed, key=lambda name: not self.topology.primary_term(name)):
                 await self.ask_status(name)
-        for instance in self.topology.forget_old(self._loop.time()):
+        for instance in self.topology.confirming.drop_old(self._loop.time(), self.settings):
             self.status_calls.drop(instance)
             self.connections.forget(instance)
 
@@ -271,11 +274,12 @@
     ) -> ReadPlan:
         """Wait for an instance that may serve a read; raises RequestError."""
 
-        def plan_read() -> ReadPlan | None:
-            now = self._loop.time()
-            return self.topology.plan_read(database, session_floor, arrived_at, now, excluded)
-
-        plan = await self._waiting.wait_for(plan_read, deadline, ErrorKind.NO_REPLICA)
+        request = ReadRequest(database, session_floor, arrived_at, excluded)
+        plan = await self._waiting.wait_for(
+            lambda: plan_read(self.topology, request, self._loop.time()),
+            deadline,
+            ErrorKind.NO_REPLICA,
+        )
         if plan.proof_of_term:
             self._breakers.check_unproven_read()
         return plan
--- a/src/orchidwind/promoted/group/owed_answers.py
+++ b/src/orchidwind/promoted/group/owed_answers.py
@@ -77,7 +77,7 @@
 
     def _answered_at(self, instance: str, otherwise: float) -> float:
         view = self._topology.instances.get(instance)
-        return view.heard_at if view is not None else otherwise
+        return view.last_answer_at if view is not None else otherwise
 
     def close(self) -> None:
         """Check no more."""
--- a/src/orchidwind/promoted/group/status_calls.py
+++ b/src/orchidwind/promoted/group/status_calls.py
@@ -81,7 +81,7 @@
     def _time_limit(self, instance: str, hurried: bool) -> float:
         view = self._topology.instances.get(instance)
         unreachable = view is not None and view.unreachable_since is not None
-        ever_answered = view is None or view.heard_at > float("-inf")
+        ever_answered = view is None or view.last_answer_at > float("-inf")
         return status_time_limit(ever_answered, unreachable, hurried)
 
     def _refused(self, instance: str, refused: BackendRefused) -> None:
