--- a/src/orchidwind/promoted/core/instance_silence.py
+++ b/src/orchidwind/promoted/core/instance_silence.py
@@ -135,3 +135,7 @@
     def begin(self, instance: str, now: float) -> None:
         """It is done now."""
         self._begun_at[instance] = now
+
+    def forget(self, instance: str) -> None:
+        """An instance left long ago."""
+        self._begun_at.pop(instance, None)
--- a/src/orchidwind/promoted/group/connections.py
+++ b/src/orchidwind/promoted/group/connections.py
@@ -108,26 +108,33 @@
             return
         view = self._topology.instances.get(instance)
         reusable = reusable and view is not None and view.unreachable_since is None
-        self._perform(self.pool(instance).release(connection, self._loop.time(), reusable))
+        pool = self._pools.get(instance)
+        if pool is None:
+            # The instance was forgotten while a request held the connection.
+            self._close(connection)
+            return
+        self._perform(pool.release(connection, self._loop.time(), reusable))
 
     def exchange_began(self, connection: int) -> None:
         """Messages are sent on a connection."""
         self.records.exchange_began_at[connection] = self._loop.time()
-        instance = self.records.instance_of.get(connection)
-        if instance is not None:
-            self.pool(instance).exchange_began(connection)
+        pool = self._pool_of(connection)
+        if pool is not None:
+            pool.exchange_began(connection)
 
     def exchange_ended(self, connection: int, rejected: bool | None) -> None:
         """They were answered, `rejected` where the instance had no room; None: they were not."""
         began = self.records.exchange_began_at.pop(connection)
-        instance = self.records.instance_of.get(connection)
-        if instance is None:
-            return
         if rejected is not None:
             self.records.note_delivered(connection)
-        now = self._loop.time()
-        pool = self.pool(instance)
-        self._perform(pool.exchange_ended(connection, now - began, rejected, now))
+        pool = self._pool_of(connection)
+        if pool is not None:
+            now = self._loop.time()
+            self._perform(pool.exchange_ended(connection, now - began, rejected, now))
+
+    def _pool_of(self, connection: int) -> InstancePool | None:
+        """The pool of an open connection; None once its instance is forgotten."""
+        return self._pools.get(self.records.instance_of.get(connection, ""))
 
     # --- the proxy's own use ------------------------------------------------------------------
 
@@ -164,10 +171,11 @@
         instance = self.records.instance_of.get(connection)
         if instance is None or connection in self.records.exchange_began_at:
             return
+        pool = self._pool_of(connection)
         self._close(connection)
-        pool = self.pool(instance)
-        self._perform(pool.lost(connection, self._loop.time()))
-        self._retry_open(pool)
+        if pool is not None:
+            self._perform(pool.lost(connection, self._loop.time()))
+            self._retry_open(pool)
 
     # --- usage --------------------------------------------------------------------------------
 
--- a/src/orchidwind/promoted/group/group_service.py
+++ b/src/orchidwind/promoted/group/group_service.py
@@ -211,8 +211,13 @@
             for name in sorted(listed, key=lambda name: not self.topology.primary_term(name)):
                 await self.ask_status(name)
         for instance in self.topology.confirming.drop_old(self._loop.time(), self.settings):
-            self.status_calls.drop(instance)
-            self.connections.forget(instance)
+            self._forget(instance)
+
+    def _forget(self, instance: str) -> None:
+        self.status_calls.forget(instance)
+        self.connections.forget(instance)
+        self._silent.forget(instance)
+        self._writes.forget(instance)
 
     def take_status(self, status: InstanceStatus) -> None:
         """An instance reported its status."""
--- a/src/orchidwind/promoted/group/outstanding_writes.py
+++ b/src/orchidwind/promoted/group/outstanding_writes.py
@@ -29,6 +29,10 @@
         """An instance acknowledged a write."""
         self._acknowledged_at[instance] = now
 
+    def forget(self, instance: str) -> None:
+        """An instance left long ago."""
+        self._acknowledged_at.pop(instance, None)
+
     def waited(self, instance: str, sent_at: float, now: float) -> float:
         """For how many seconds an instance has acknowledged none, by one that was sent then.
 
--- a/src/orchidwind/promoted/group/silent_connections.py
+++ b/src/orchidwind/promoted/group/silent_connections.py
@@ -184,6 +184,10 @@
             )
         )
 
+    def forget(self, instance: str) -> None:
+        """An instance left long ago."""
+        self._check_pauses.forget(instance)
+
     def close(self) -> None:
         """Check no more."""
         self._tasks.cancel()
--- a/src/orchidwind/promoted/group/status_calls.py
+++ b/src/orchidwind/promoted/group/status_calls.py
@@ -199,6 +199,11 @@
         if link is not None:
             link.close()
 
+    def forget(self, instance: str) -> None:
+        """An instance left long ago."""
+        self.drop(instance)
+        self._hedge_pauses.forget(instance)
+
     def close(self) -> None:
         """Close all of them."""
         for instance in list(self.links):
