--- a/tests/promoted/test_circuit_breaker.py
+++ b/tests/promoted/test_circuit_breaker.py
@@ -6,9 +6,16 @@
 from hypothesis import strategies as st
 
 from orchidwind.promoted.callers.session_executor import SessionExecutor
-from orchidwind.promoted.core.circuit_breaker import PROBE_SECONDS, CircuitBreaker
+from orchidwind.promoted.core.circuit_breaker import (
+    NOT_PROVEN_SECONDS,
+    PATIENCE_SECONDS,
+    PROBE_SECONDS,
+    CircuitBreaker,
+    Dependency,
+    RequestBreakers,
+)
 from orchidwind.promoted.core.commands import Command, CommandKind
-from orchidwind.shared.core.errors import ANSWERS, Ran, RequestError
+from orchidwind.shared.core.errors import ANSWERS, ErrorKind, Ran, RequestError
 from orchidwind_bench.promoted.simulation.callers import PromotedSystem
 from orchidwind_bench.promoted.simulation.store import STORE
 from orchidwind_bench.promoted.simulation.virtual_time import run_virtual
@@ -47,6 +54,40 @@
     assert all(b - a >= PROBE_SECONDS for a, b in zip(passed, passed[1:], strict=False))
 
 
+def test_a_request_asks_only_for_what_it_relies_on():
+    for dependency, patience in PATIENCE_SECONDS.items():
+        breakers = RequestBreakers()
+        breakers.failed(dependency, 0.0)
+        now = patience
+        # The first of each kind is let through as the probe.
+        assert breakers.refuse_without_instance(ErrorKind.NO_REPLICA, now) is None
+        assert breakers.refuse_at_primary(False, 0.0, now) is None
+        at_once = now + PROBE_SECONDS / 2
+        read = breakers.refuse_without_instance(ErrorKind.NO_REPLICA, at_once)
+        write = breakers.refuse_at_primary(False, 0.0, at_once)
+        assert (read is not None) == (dependency is Dependency.INSTANCE)
+        assert (write is not None) == (dependency is not Dependency.INSTANCE)
+        assert breakers.refuse_at_primary(False, None, at_once) is None
+
+
+def test_a_request_that_relies_on_a_proof_twice_may_be_the_probe():
+    breakers = RequestBreakers()
+    breakers.failed(Dependency.LEAD_PROOF, 0.0)
+    assert breakers.refuse_at_primary(True, 0.0, NOT_PROVEN_SECONDS) is None
+    refusal = breakers.refuse_at_primary(True, 0.0, NOT_PROVEN_SECONDS)
+    assert refusal is not None
+    assert refusal.missing is Dependency.LEAD_PROOF
+
+
+def test_a_write_that_waits_for_too_long_opens_the_breaker_of_commits():
+    breakers = RequestBreakers()
+    patience = PATIENCE_SECONDS[Dependency.COMMIT]
+    assert breakers.refuse_at_primary(False, patience + 0.01, 1.0) is None
+    refusal = breakers.refuse_at_primary(False, patience + 0.02, 1.01)
+    assert refusal is not None
+    assert refusal.missing is Dependency.COMMIT
+
+
 NODES = ("proxy-a", "proxy-b", "proxy-c")
 
 
