--- a/src/orchidwind/shared/core/admission.py
+++ b/src/orchidwind/shared/core/admission.py
@@ -4,6 +4,9 @@
 finish time (start-time fair queueing), so a heavy class gets its share and a light one is never
 starved. A request that cannot start before its deadline is refused on arrival, with the time
 after which the queue will have drained.
+
+Owns: the queues and the estimate of how long a request holds a connection. Relies on its user for
+the time, in seconds of one steady clock, and for the number of slots.
 """
 
 from __future__ import annotations
@@ -11,14 +14,24 @@
 from collections import OrderedDict
 from dataclasses import dataclass, field
 
+# Weight of the newest request in the mean time that requests hold a connection. Chosen: the mean
+# follows a change of load within some ten requests.
 _SERVICE_SMOOTHING = 0.1
+# That mean before the first request has ended, seconds. Chosen: low, so that none is refused on a
+# guess.
 _INITIAL_SERVICE_SECONDS = 0.002
+# Shortest time after which a refused request is asked to come back, seconds. Chosen: it spreads the
+# repeats of callers that were refused together.
 _SHORTEST_RETRY_SECONDS = 0.05
 
 
 @dataclass(frozen=True, slots=True)
 class TrafficClass:
-    """How requests of one class are treated. The deadline is in seconds."""
+    """How requests of one class are treated.
+
+    `deadline` is in seconds from arrival, `queue_bound` in waiting requests. The defaults, chosen,
+    apply to elected groups without traffic classes of their own.
+    """
 
     name: str
     weight: float = 1.0
--- a/src/orchidwind/shared/core/concurrency_window.py
+++ b/src/orchidwind/shared/core/concurrency_window.py
@@ -1,21 +1,30 @@
-"""How much one proxy keeps running at one instance, learned from what the instance tells. No I/O.
+"""How much one proxy keeps running at one instance, learned from its replies. No I/O.
 
 An instance runs a few requests at once, queues some and rejects the others; several proxies share
 it, and none knows how busy it is. Additive increase, multiplicative decrease: each rejection makes
 the window smaller, answers that come while it is full make it grow again. So requests wait where
 they can be put in order, and not in the instance's queue.
 
+Owns: the size of one window. Relies on a report of each answer and each rejection, with the time of
+the latter in seconds of one steady clock.
+
 Source of the method: Chiu and Jain, "Analysis of the increase and decrease algorithms for
 congestion avoidance in computer networks" (1989).
 """
 
 from __future__ import annotations
 
-# A first guess: a little more than the users' instances run at once (2 or 3 slots).
+# Requests at once before anything is learned. Chosen: a little more than the first users' instances
+# run at once (2 or 3 slots).
 FIRST_WINDOW = 4.0
+# Requests at once at the least, as only an answer can make the window grow again.
 _SMALLEST_WINDOW = 1.0
+# Factor of the window at a rejection. Chosen, milder than the usual half: of a few slots the half
+# stays idle until the window has grown again. Measured for the window as a whole: 2,482 rejections
+# on a calm day of the grown site (docs/CAPACITY.md), 10,058 without it.
 _DECREASE = 0.7
-# One full queue rejects many requests at the same moment: they count once.
+# Seconds for which rejections count as one: a full queue rejects many requests at the same moment.
+# Chosen: below the 0.1 to 0.3 s in which a full queue of the first users' instances runs empty.
 _DECREASE_PAUSE_SECONDS = 0.05
 
 
--- a/src/orchidwind/shared/core/errors.py
+++ b/src/orchidwind/shared/core/errors.py
@@ -1,5 +1,6 @@
 """The closed list of error kinds, the table from kind to answer, and the exception tree.
 
+Owns: what a caller gets for each kind: its SQLSTATE, whether the request ran and when to come back.
 Source of the SQLSTATE codes: PostgreSQL manual, appendix A.
 """
 
@@ -47,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """What a caller is told for an error kind.
+    """What a caller gets for an error kind.
 
     `retry_after_milliseconds` is the default time to come back, None where a repeat is of no use.
     """
@@ -58,6 +59,9 @@
     severity: str = "ERROR"
 
 
+# The times to come back, in milliseconds, are chosen: 500 within a change of primary, which takes
+# about a second, 200 for a queue to drain, 50 where another attempt may run at once, 1000 where
+# other callers have to end first. How soon refused callers repeat depends on them.
 ANSWERS: dict[ErrorKind, Answer] = {
     ErrorKind.OVERLOADED: Answer("53000", Ran.NO, 200),
     ErrorKind.DEADLINE_PASSED: Answer("57014", Ran.NO, 200),
@@ -104,7 +108,7 @@
 class PlatformConflict(PlatformError):
     """The platform holds another version of the object than the one named.
 
-    `held` is the body of its answer, which may tell that object.
+    `held` is the body of its answer, which may contain that object.
     """
 
     def __init__(self, message: str, held: bytes = b"") -> None:
--- a/src/orchidwind/shared/core/pool.py
+++ b/src/orchidwind/shared/core/pool.py
@@ -4,6 +4,10 @@
 order of the admission queue, and closes those whose state is uncertain. When the database says
 that its limit is met (SQLSTATE 53300), the database has the last word: the usable share shrinks,
 and grows again step by step.
+
+Owns: which connections are open, idle, held and being opened, and when to open the next. Relies on
+`admission` for the order of requests and on `concurrency_window` for how many may run; its user
+carries out the effects and reports what came of them. Times are in seconds of one steady clock.
 """
 
 from __future__ import annotations
@@ -14,16 +18,21 @@
 from orchidwind.shared.core.admission import AdmissionQueue, Refusal, TrafficClass
 from orchidwind.shared.core.concurrency_window import ConcurrencyWindow
 
+# Seconds until a connection that could not be opened is tried again, doubled up to the longest.
+# Chosen: the first bounds the pause after a lost instance, the second the attempts at a dead one.
 _REOPEN_SECONDS = 0.1
 _LONGEST_REOPEN_SECONDS = 2.0
+# Seconds after which an eager pool tries one connection more than the limit it met. Chosen: each
+# attempt costs the database a login.
 _GROW_AGAIN_SECONDS = 2.0
-# Where connections are opened for requests that wait, a limit that was met is tried again sooner:
-# after a restart of proxies an instance counts their old connections for up to 3 s, and an attempt
-# that it turns away costs it nothing.
+# The same, in seconds, where connections are opened for requests that wait: after a restart of
+# proxies an instance counts their old connections for up to 3 s, and an attempt that it turns away
+# costs it nothing. Measured: with the longer time a restarted home served on one connection for 6 s
+# (docs/CAPACITY.md).
 _TRY_LIMIT_SECONDS = 0.25
-# Opened at once for requests that wait. Each new connection holds a slot of the instance for longer
-# than a request does (12 to 32 ms on the users' sites): opened all at once, they hold the requests
-# up that they were opened for.
+# Connections opened at once for requests that wait. Each new one holds a slot of the instance for
+# longer than a request does (measured: 12 to 32 ms on the first users' sites): opened all at once,
+# they hold up the requests that they were opened for.
 MOST_OPENING = 2
 
 
@@ -66,8 +75,8 @@
     ) -> None:
         """Without `eager`, connections are opened only for requests that wait.
 
-        With a `window`, requests are granted connections only while it has room; whoever uses the
-        pool then tells of each exchange. A connection whose transaction rests takes no room.
+        With a `window`, requests are granted connections only while it has room; the user of the
+        pool then reports each exchange. A connection whose transaction rests takes no room.
         """
         self._eager = eager
         self.window = window
@@ -170,7 +179,7 @@
     def exchange_ended(
         self, connection: int, seconds: float, rejected: bool | None, now: float
     ) -> list[PoolEffect]:
-        """It ended after so many seconds; `rejected` tells that the instance had no room for it.
+        """It ended after so many seconds; `rejected`: the instance had no room for it.
 
         None: it was not answered.
         """
--- a/src/orchidwind/shared/silence.py
+++ b/src/orchidwind/shared/silence.py
@@ -1,4 +1,8 @@
-"""Open connections that were found silent: one line and one count for each find."""
+"""Open connections that were found silent: one line and one count for each find.
+
+Owns: the kinds of connections as they are counted and the line in the log, which operators rely on.
+Relies on each owner of connections to find its silent ones.
+"""
 
 from __future__ import annotations
 
@@ -23,9 +27,9 @@
 
 @dataclass(frozen=True, slots=True)
 class SilentConnection:
-    """A connection that says nothing while another way to the same end works, or should.
+    """A connection that delivers nothing while another way to the same end works, or should.
 
-    `opened_for` and `silent_for` are in seconds, None where nobody keeps them; `owed` counts the
+    `opened_for` and `silent_for` are in seconds, None where they are unknown; `owed` counts the
     answers that were waited for on it, the proxy's own queries left out. `group` is empty where the
     connection belongs to none.
     """
