--- a/src/orchidwind/promoted/group/group_supervision.py
+++ b/src/orchidwind/promoted/group/group_supervision.py
@@ -1,4 +1,9 @@
-"""Watches over one promoted group: asks for statuses, and has a primary changed when needed."""
+"""Watches over one promoted group: asks for statuses, and has a primary changed when it must be.
+
+Owns: the times of the decisions of `core/supervision` and the change of primary that runs, at most
+one a group and proxy. Relies on `FailoverRunner` for the change and on `GroupService` for what is
+seen of the instances.
+"""
 
 from __future__ import annotations
 
@@ -6,6 +11,7 @@
 import logging
 import random
 from collections.abc import Awaitable, Callable
+from dataclasses import dataclass
 
 from orchidwind.promoted.core.failover_steps import (
     FailoverOutcome,
@@ -21,55 +27,63 @@
 from orchidwind.promoted.ports import PromotionService
 from orchidwind.shared.logs import log_event
 
-_UNSUPERVISED_LOOK_SECONDS = 1.0
+# Seconds after which a proxy without a part in a group checks whether it has one now. Chosen: to
+# take part wakes the supervisor at once, so nothing waits for it.
+_UNSUPERVISED_CHECK_SECONDS = 1.0
+
+
+@dataclass(frozen=True, slots=True)
+class SupervisionServices:
+    """What all groups of a proxy share for changes of primary.
+
+    `refresh_views` reads anew who may hold commits, and returns whether the store answered.
+    """
+
+    lock: PromotionLockClient
+    promotions: PromotionService
+    leases: LeaseKeeper
+    rosters: RosterKeeper
+    refresh_views: Callable[[], Awaitable[bool]]
+    metrics: ProxyMetrics
 
 
 class GroupSupervision:
     """One group's supervisor, while this proxy has a part in the group."""
 
     def __init__(
-        self,
-        group: GroupService,
-        wake: asyncio.Event,
-        lock: PromotionLockClient,
-        promotions: PromotionService,
-        leases: LeaseKeeper,
-        rosters: RosterKeeper,
-        refresh_views: Callable[[], Awaitable[bool]],
-        metrics: ProxyMetrics,
+        self, group: GroupService, wake: asyncio.Event, services: SupervisionServices
     ) -> None:
-        """`refresh_views` reads anew who may hold commits; whether the store answered."""
-        self._refresh_views = refresh_views
+        """`wake` is set when the supervisor should decide anew."""
         self._group = group
         self._wake = wake
-        self._lock = lock
-        self._promotions = promotions
-        self._leases = leases
-        self._rosters = rosters
-        self._metrics = metrics
+        self._services = services
         self._supervisor = GroupSupervisor(group.topology)
         self._running: asyncio.Task[None] | None = None
         self._loop = asyncio.get_running_loop()
 
     async def run(self) -> None:
-        """Look again and again, until cancelled."""
+        """Decide again and again, until cancelled."""
         try:
-            await self._look_again_and_again()
+            while True:
+                await self._wait(self._decide())
         finally:
             if self._running is not None:
                 self._running.cancel()
 
-    async def _look_again_and_again(self) -> None:
-        while True:
-            again_after = _UNSUPERVISED_LOOK_SECONDS
-            if self._group.supervised:
-                again_after = self._look().again_after
-            try:
-                async with asyncio.timeout(again_after):
-                    await self._wake.wait()
-            except TimeoutError:
-                pass
-            self._wake.clear()
+    def _decide(self) -> float:
+        """Act on what is known now; after how many seconds to decide again at the latest."""
+        if not self._group.supervised:
+            return _UNSUPERVISED_CHECK_SECONDS
+        return self._look().again_after
+
+    async def _wait(self, seconds: float) -> None:
+        try:
+            async with asyncio.timeout(seconds):
+                await self._wake.wait()
+        except TimeoutError:
+            # Silent: nothing woke the supervisor, and its next decision is due.
+            pass
+        self._wake.clear()
 
     def _look(self) -> Look:
         group = self._group
@@ -78,73 +92,74 @@
             group.suspects(),
             group.oldest_write(),
             random.random(),
-            self._rosters.known,
+            self._services.rosters.known,
         )
         for instance in look.ask:
             group.ask_soon(instance)
         may_start = self._running is None or self._running.done()
-        if look.plan is not None and may_start and not self._leases.held_by_another():
+        if look.plan is not None and may_start and not self._services.leases.held_by_another():
             self._running = self._loop.create_task(self._change_primary(look.plan))
         return look
 
     async def _read_members(self, reason: FailoverReason) -> FailoverPlan | None:
         """Plan from views that are read anew; None where the store does not answer."""
-        if not await self._refresh_views():
+        if not await self._services.refresh_views():
             return None
-        return self._supervisor.plan(self._loop.time(), reason, self._rosters.known)
+        return self._supervisor.plan(self._loop.time(), reason, self._services.rosters.known)
 
     async def _change_primary(self, planned: FailoverPlan) -> None:
         try:
-            await self._look_into_change(planned)
-        except Exception as error:  # the next look tries again; what went wrong must be seen
+            outcome = await self._try_change(planned)
+        except Exception as error:  # the next decision tries again; what went wrong must be seen
             log_event(
                 "failover_broke_off",
                 level=logging.ERROR,
                 group=planned.group,
                 reason=repr(error),
             )
-            self._supervisor.ended(self._loop.time(), FailoverOutcome.NOT_SAFE)
+            outcome = FailoverOutcome.NOT_SAFE
+        self._supervisor.ended(self._loop.time(), outcome)
 
-    async def _look_into_change(self, planned: FailoverPlan) -> None:
-        reason = planned.reason
-        plan = await self._read_members(reason)
+    async def _try_change(self, planned: FailoverPlan) -> FailoverOutcome:
+        plan = await self._read_members(planned.reason)
         if plan is None:
             log_event("failover_put_off", group=planned.group, reason="the views are not confirmed")
-            self._supervisor.ended(self._loop.time(), FailoverOutcome.LOCK_HELD)
-            return
+            return FailoverOutcome.LOCK_HELD
+        self._log_started(plan)
+        result = await self._runner(plan.reason).run(plan)
         log_event(
-            "failover_started",
+            "failover_ended",
             group=plan.group,
             reason=plan.reason.value,
-            old_primary=plan.old_primary,
-            members=",".join(plan.members),
-            leaving=",".join(sorted(plan.leaving)),
-            members_known=plan.members_known,
-            led_term=plan.led_term,
-            known_by=" ".join(
-                f"{name}:{how}"
-                for name, how in sorted(
-                    self._group.topology.confirming.sources(self._loop.time()).items()
-                )
-            ),
+            outcome=result.outcome.value,
+            primary=result.primary,
+            term=result.term,
         )
-        runner = FailoverRunner(
+        self._services.metrics.failover(plan.reason.value, result.outcome.value)
+        self._group.changed()
+        return result.outcome
+
+    def _runner(self, reason: FailoverReason) -> FailoverRunner:
+        services = self._services
+        return FailoverRunner(
             self._group,
-            self._lock,
-            self._promotions,
-            self._leases,
-            self._rosters,
+            services.lock,
+            services.promotions,
+            services.leases,
+            services.rosters,
             lambda: self._read_members(reason),
         )
-        result = await runner.run(plan)
+
+    def _log_started(self, plan: FailoverPlan) -> None:
+        sources = self._group.topology.confirming.sources(self._loop.time())
         log_event(
-            "failover_ended",
+            "failover_started",
             group=plan.group,
             reason=plan.reason.value,
-            outcome=result.outcome.value,
-            primary=result.primary,
-            term=result.term,
+            old_primary=plan.old_primary,
+            members=",".join(plan.members),
+            leaving=",".join(sorted(plan.leaving)),
+            members_known=plan.members_known,
+            led_term=plan.led_term,
+            known_by=" ".join(f"{name}:{how}" for name, how in sorted(sources.items())),
         )
-        self._metrics.failover(plan.reason.value, result.outcome.value)
-        self._supervisor.ended(self._loop.time(), result.outcome)
-        self._group.changed()
--- a/src/orchidwind/promoted/group/operator_status.py
+++ b/src/orchidwind/promoted/group/operator_status.py
@@ -1,4 +1,8 @@
-"""What a proxy of promoted groups believes, in the form that operators are shown."""
+"""What a proxy of promoted groups knows, in the form that operators are shown.
+
+Owns: the fields of `orchidwind status` for a proxy, whose names operators rely on. Relies on the
+group services, which it only reads.
+"""
 
 from __future__ import annotations
 
--- a/src/orchidwind/promoted/proxy_runtime.py
+++ b/src/orchidwind/promoted/proxy_runtime.py
@@ -18,7 +18,7 @@
 from orchidwind.promoted.core.homes import ProxyMember
 from orchidwind.promoted.group.failover_runner import PromotionLockClient
 from orchidwind.promoted.group.group_service import GroupEnvironment, GroupService
-from orchidwind.promoted.group.group_supervision import GroupSupervision
+from orchidwind.promoted.group.group_supervision import GroupSupervision, SupervisionServices
 from orchidwind.promoted.group.lease_keeper import LeaseKeeper
 from orchidwind.promoted.group.operator_status import OperatorStatus, group_status
 from orchidwind.promoted.group.roster_keeper import RosterKeeper
@@ -241,17 +241,15 @@
             if entry.group == name:
                 group.entry_changed(entry)
         self.rosters.apply(name)
-        supervision = GroupSupervision(
-            group,
-            wake,
-            self._lock,
-            self._ports.promotions,
-            self.leases,
-            self.rosters,
-            self.views.refresh_before_failover,
-            self.metrics,
+        services = SupervisionServices(
+            lock=self._lock,
+            promotions=self._ports.promotions,
+            leases=self.leases,
+            rosters=self.rosters,
+            refresh_views=self.views.refresh_before_failover,
+            metrics=self.metrics,
         )
-        self._spawn(supervision.run)
+        self._spawn(GroupSupervision(group, wake, services).run)
 
     def _connection_limit(self, group: str) -> int:
         """How many connections an instance of a group takes, over all proxies."""
