--- a/src/orchidwind/promoted/group/connections.py
+++ b/src/orchidwind/promoted/group/connections.py
@@ -1,25 +1,24 @@
 """The server connections of one promoted group, and the requests that wait for one.
 
-Owns: the pool of each instance. It carries out what the pools decide (`shared/core/pool`): grants,
-openings, closings and refusals. Relies on `ConnectionRecords` for what is known of each connection,
-on `ConnectionOpener` for new ones and on `WaitingGrants` for the requests that wait.
+Owns: the tasks that open connections. It carries out what the pools decide (`shared/core/pool`):
+grants, openings, closings and refusals. Relies on `InstancePools` for the pools, on
+`ConnectionRecords` for what is known of each connection, on `ConnectionOpener` for new ones and on
+`WaitingGrants` for the requests that wait.
 """
 
 from __future__ import annotations
 
 import asyncio
 from collections.abc import Callable, Iterable
-from dataclasses import dataclass
-from itertools import count
 
 from orchidwind.promoted.core.group_state import GroupState
 from orchidwind.promoted.group.background_tasks import BackgroundTasks
 from orchidwind.promoted.group.connection_opener import CONNECTION_LIMIT_MET, ConnectionOpener
 from orchidwind.promoted.group.connection_records import ConnectionRecords
+from orchidwind.promoted.group.instance_pools import InstancePools
 from orchidwind.promoted.group.waiting_grants import WaitingGrants
 from orchidwind.promoted.ports import InstanceConnector
 from orchidwind.shared.core.admission import TrafficClass
-from orchidwind.shared.core.concurrency_window import ConcurrencyWindow
 from orchidwind.shared.core.errors import (
     BackendConnectionLost,
     BackendRefused,
@@ -37,22 +36,11 @@
 
 # Shortest pause before a pool is looked at again, seconds. Chosen: bounds the wake-ups.
 _SHORTEST_RETRY_SECONDS = 0.01
-# Connections to each instance before the placement of homes is known. Chosen: one for statements
-# and one beside it.
-_CONNECTIONS_BEFORE_PLACEMENT = 2
 # Seconds after which a connection is tried again where the instance had no room. Requests go
 # elsewhere meanwhile. Chosen: an attempt that is turned away costs the instance nothing.
 _OPEN_AGAIN_SECONDS = 0.25
 
 
-@dataclass(frozen=True, slots=True)
-class PoolUsage:
-    """The connections to one instance, and the requests that wait for one."""
-
-    connections: int
-    queued: int
-
-
 class GroupConnections:
     """`on_suspect` gets instances whose connections broke, `on_unreachable` those without answer.
 
@@ -67,17 +55,15 @@
         on_unreachable: Callable[[str], None],
     ) -> None:
         self.records = ConnectionRecords()
+        self.pools = InstancePools()
         self.opener = ConnectionOpener(state.topology, connector)
         self._state = state
         self._topology = state.topology
         self._on_suspect = on_suspect
         self._on_unreachable = on_unreachable
         self._loop = asyncio.get_running_loop()
-        self._numbers = count(1)
-        self._pools: dict[str, InstancePool] = {}
         self._waiting = WaitingGrants()
         self._tasks = BackgroundTasks()
-        self._share = _CONNECTIONS_BEFORE_PLACEMENT
 
     # --- requests -----------------------------------------------------------------------------
 
@@ -85,7 +71,7 @@
         """Wait for a server connection; raises RequestError, BackendConnectionLost."""
         if self.opener.closed:
             raise RequestError(ErrorKind.PROXY_STOPPING, "this proxy has stopped")
-        pool = self.pool(instance)
+        pool = self.pools.of(instance)
         waiting = self._waiting.add(instance)
         self._perform(pool.acquire(waiting.ticket, traffic_class, self._loop.time(), deadline))
         try:
@@ -108,7 +94,7 @@
             return
         view = self._topology.instances.get(instance)
         reusable = reusable and view is not None and view.unreachable_since is None
-        pool = self._pools.get(instance)
+        pool = self.pools.known(instance)
         if pool is None:
             # The instance was forgotten while a request held the connection.
             self._close(connection)
@@ -134,17 +120,17 @@
 
     def _pool_of(self, connection: int) -> InstancePool | None:
         """The pool of an open connection; None once its instance is forgotten."""
-        return self._pools.get(self.records.instance_of.get(connection, ""))
+        return self.pools.known(self.records.instance_of.get(connection, ""))
 
     # --- the proxy's own use ------------------------------------------------------------------
 
     def borrow_idle(self, instance: str) -> int | None:
         """Take an idle connection, None where there is none."""
-        return self.pool(instance).borrow_idle(self._loop.time())
+        return self.pools.of(instance).borrow_idle(self._loop.time())
 
     def borrow_idle_silent(self, instance: str, since: float) -> list[int]:
         """Take the idle connections that have delivered nothing since a time."""
-        pool = self.pool(instance)
+        pool = self.pools.of(instance)
         silent = [item for item in pool.idle if self.records.silent_since(item, since)]
         return [item for item in silent if pool.take_idle(item, self._loop.time())]
 
@@ -153,7 +139,7 @@
 
         Those of transactions whose callers think, mostly.
         """
-        pool = self._pools.get(instance)
+        pool = self.pools.known(instance)
         held = pool.busy if pool is not None else {}
         records = self.records
         return [
@@ -177,23 +163,6 @@
             self._perform(pool.lost(connection, self._loop.time()))
             self._retry_open(pool)
 
-    # --- usage --------------------------------------------------------------------------------
-
-    def usage(self, instance: str) -> PoolUsage:
-        """How many connections to an instance are open, and how many requests wait."""
-        pool = self._pools.get(instance)
-        return PoolUsage(pool.size, len(pool.queue)) if pool else PoolUsage(0, 0)
-
-    @property
-    def held_instances(self) -> list[str]:
-        """Instances to which a request holds a connection, in the order of their first use."""
-        return [name for name, pool in self._pools.items() if pool.busy]
-
-    @property
-    def busy(self) -> int:
-        """Connections that requests or transactions hold."""
-        return sum(len(pool.busy) for pool in self._pools.values())
-
     @property
     def starved(self) -> bool:
         """Whether an instance had no room lately, and requests wait here for want of connections.
@@ -201,46 +170,31 @@
         After the loss of all proxies an instance counts their old connections for some seconds:
         the first that return take what is left, and the others have none.
         """
-        return any(self._lacks_connections(name) for name in self.opener.without_room())
-
-    def _lacks_connections(self, instance: str) -> bool:
-        pool = self._pools.get(instance)
-        if pool is None or not (pool.idle or pool.busy):
-            return True
-        return len(pool.queue) > len(pool.busy)
+        return self.pools.lacks_connections(self.opener.without_room())
 
     # --- upkeep -------------------------------------------------------------------------------
 
-    def pool(self, instance: str) -> InstancePool:
-        """The pool of an instance."""
-        pool = self._pools.get(instance)
-        if pool is None:
-            window = ConcurrencyWindow()
-            pool = InstancePool(instance, self._share, self._numbers, eager=False, window=window)
-            self._pools[instance] = pool
-        return pool
-
     def set_share(self, share: int) -> None:
         """Hold at most this many connections to each instance; fewer close idle ones."""
-        if share == self._share:
+        if share == self.pools.share:
             return
-        self._share = share
-        for pool in self._pools.values():
+        self.pools.share = share
+        for pool in self.pools:
             self._perform(pool.set_share(share, self._loop.time()))
 
     def trim(self) -> None:
         """Close connections that were not used lately."""
-        for pool in self._pools.values():
+        for pool in self.pools:
             self._perform(pool.trim())
 
     def close_idle(self) -> None:
         """Close every connection that no request holds."""
-        for pool in self._pools.values():
+        for pool in self.pools:
             self._close_idle_of(pool)
 
     def drop_idle(self, instance: str) -> None:
         """Close idle connections to an instance that does not answer; who waits goes elsewhere."""
-        pool = self._pools.get(instance)
+        pool = self.pools.known(instance)
         if pool is None:
             return
         self._close_idle_of(pool)
@@ -255,7 +209,7 @@
     def forget(self, instance: str) -> None:
         """An instance left long ago."""
         self.drop_idle(instance)
-        self._pools.pop(instance, None)
+        self.pools.forget(instance)
         self.opener.forget(instance)
 
     # --- what the pools decide ----------------------------------------------------------------
@@ -280,7 +234,7 @@
 
         Raises BackendRefused, BackendConnectionLost. Who stops waiting leaves it to be opened.
         """
-        for effect in self.pool(instance).open_one():
+        for effect in self.pools.of(instance).open_one():
             error = await asyncio.shield(self._tasks.start(self._open(effect)))
             if error is not None:
                 raise error
@@ -288,7 +242,7 @@
     async def _open(self, effect: OpenConnection) -> BackendRefused | BackendConnectionLost | None:
         """Open a connection for a pool; why there is none, as it was logged."""
         number, instance = effect.connection, effect.instance
-        pool = self.pool(instance)
+        pool = self.pools.of(instance)
         try:
             link = await self.opener.open(instance, lambda: self._lost_outside_exchange(number))
         except BackendRefused as refused:
@@ -316,7 +270,7 @@
 
     def _open_again(self, pool: InstancePool) -> None:
         """Requests go elsewhere meanwhile, so nobody waits here: open one all the same."""
-        if not self.opener.closed and self._pools.get(pool.instance) is pool:
+        if not self.opener.closed and self.pools.known(pool.instance) is pool:
             self._perform(pool.open_one())
 
     def _retry_open(self, pool: InstancePool) -> None:
@@ -342,4 +296,4 @@
         self._tasks.cancel()
         for connection in list(self.records.links):
             self._close(connection)
-        self._pools.clear()
+        self.pools.clear()
--- a/src/orchidwind/promoted/group/group_service.py
+++ b/src/orchidwind/promoted/group/group_service.py
@@ -6,6 +6,7 @@
 Owns: the view of the group (`GroupState`), whether this proxy is one of its homes, and the order in
 which the parts learn of a change of the view:
 
+- `view_changes`: what the directory and the instances report;
 - `waiting_requests`: requests that wait until the view shows where they can run;
 - `group_breakers`: requests that are refused at once;
 - `connections`: server connections and the requests that wait for one;
@@ -21,11 +22,9 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from orchidwind.promoted.core.circuit_breaker import Dependency
 from orchidwind.promoted.core.commands import InstanceStatus
 from orchidwind.promoted.core.configuration import (
     DatabaseRoute,
-    DirectoryEntry,
     PromotedGroupSettings,
 )
 from orchidwind.promoted.core.group_state import GroupState
@@ -44,6 +43,7 @@
 from orchidwind.promoted.group.owed_answers import OwedAnswers
 from orchidwind.promoted.group.silent_connections import SilentConnections
 from orchidwind.promoted.group.status_calls import StatusCall, StatusCalls, status_query
+from orchidwind.promoted.group.view_changes import ViewChanges
 from orchidwind.promoted.group.waiting_requests import WaitingRequests
 from orchidwind.promoted.metrics import ProxyMetrics
 from orchidwind.promoted.ports import InstanceConnector
@@ -122,7 +122,7 @@
         leases = self._environment.leases
         self._prover = LeadProver(self.topology, leases, self.ask_status)
         self._guard = CommitGuard(self.topology, self._prover, self.ask_status)
-        self._commits = AcknowledgedCommits(self.topology, self._guard, leases, self._breakers)
+        commits = AcknowledgedCommits(self.topology, self._guard, leases, self._breakers)
         self._exchanges = Exchanges(
             ExchangeParts(
                 topology=self.topology,
@@ -130,12 +130,13 @@
                 writes=self._writes,
                 owed=self._owed,
                 prover=self._prover,
-                commits=self._commits,
+                commits=commits,
                 breakers=self._breakers,
                 metrics=self._metrics,
                 on_unproven=self._on_wake,
             )
         )
+        self.view_changes = ViewChanges(self.topology, self._breakers, commits, self.changed)
 
     @property
     def settings(self) -> PromotedGroupSettings:
@@ -179,29 +180,6 @@
         self._waiting.wake()
         self._on_wake()
 
-    def entry_changed(self, entry: DirectoryEntry) -> None:
-        """The directory lists an instance."""
-        known = self.topology.instances.get(entry.instance)
-        claims = self.topology.entry_changed(entry)
-        if claims or known is None or known.entry.draining != entry.draining:
-            log_event(
-                "instance_listed",
-                group=self.settings.name,
-                instance=entry.instance,
-                claims_primary=entry.claims_primary,
-                draining=entry.draining,
-                revision=entry.revision,
-            )
-        self.changed()
-
-    def entry_gone(self, instance: str, removal_unseen: bool = False) -> None:
-        """The directory no longer lists an instance; `removal_unseen`: it may come back."""
-        self.topology.entry_gone(instance, self._loop.time(), removal_unseen)
-        log_event(
-            "instance_gone", group=self.settings.name, instance=instance, lapsed=removal_unseen
-        )
-        self.changed()
-
     async def forget_old(self) -> None:
         """Drop what belongs to instances that left long ago, if others have their logs."""
         if self.supervised and self.topology.confirming.some_due(self._loop.time()):
@@ -219,28 +197,6 @@
         self._silent.forget(instance)
         self._writes.forget(instance)
 
-    def take_status(self, status: InstanceStatus) -> None:
-        """An instance reported its status."""
-        now = self._loop.time()
-        before = self.topology.primary(now)
-        self.topology.take_status(status)
-        after = self.topology.primary(now)
-        if before != after:
-            self._primary_changed(after, status.instance)
-
-    def _primary_changed(self, primary: PrimaryView | None, reported_by: str) -> None:
-        self._breakers.succeeded(Dependency.LEAD_PROOF, Dependency.COMMIT)
-        if primary is not None:
-            self._commits.log_before(primary.term)
-        log_event(
-            "primary_changed",
-            group=self.settings.name,
-            instance=primary.instance if primary else "",
-            term=primary.term if primary else 0,
-            reported_by=reported_by,
-        )
-        self.changed()
-
     def mark_unreachable(self, instance: str) -> None:
         """An instance does not answer: its idle connections are of no use, reads go elsewhere."""
         view = self.topology.instances.get(instance)
@@ -341,7 +297,7 @@
         self._metrics.message("status_or_control")
         status = await self.status_calls.ask(instance, call, hurried, repeatable)
         if status is not None:
-            self.take_status(status)
+            self.view_changes.take_status(status)
         return status
 
     async def ask_status(self, instance: str) -> InstanceStatus | None:
--- a/src/orchidwind/promoted/group/operator_status.py
+++ b/src/orchidwind/promoted/group/operator_status.py
@@ -57,7 +57,7 @@
     instances = []
     for name, view in group.topology.instances.items():
         status = view.status
-        usage = group.connections.usage(name)
+        usage = group.connections.pools.usage(name)
         instances.append(
             OperatorInstanceStatus(
                 name=name,
--- a/src/orchidwind/promoted/group/resting_connections.py
+++ b/src/orchidwind/promoted/group/resting_connections.py
@@ -59,7 +59,7 @@
 
     def _check_all(self) -> None:
         self._timer = None
-        held_instances = self._connections.held_instances
+        held_instances = self._connections.pools.held_instances
         for instance in held_instances:
             self.check(instance, rest_probe_before(self._loop.time()))
         if held_instances:
--- /dev/null
+++ b/src/orchidwind/promoted/group/view_changes.py
@@ -0,0 +1,84 @@
+"""What the directory and the instances of one group report, brought into its view.
+
+Owns: the log lines of these changes, and what follows from a new primary: its proofs and commits
+count as had, and the last commits under the one before are logged. Relies on `core/topology` for
+what the reports mean.
+"""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+
+from orchidwind.promoted.core.circuit_breaker import Dependency
+from orchidwind.promoted.core.commands import InstanceStatus
+from orchidwind.promoted.core.configuration import DirectoryEntry
+from orchidwind.promoted.core.topology import GroupTopology, PrimaryView
+from orchidwind.promoted.group.acknowledged_commits import AcknowledgedCommits
+from orchidwind.promoted.group.group_breakers import GroupBreakers
+from orchidwind.shared.logs import log_event
+
+
+class ViewChanges:
+    """`on_change` is called after each change that lets requests or the supervisor decide anew."""
+
+    def __init__(
+        self,
+        topology: GroupTopology,
+        breakers: GroupBreakers,
+        commits: AcknowledgedCommits,
+        on_change: Callable[[], None],
+    ) -> None:
+        self._topology = topology
+        self._breakers = breakers
+        self._commits = commits
+        self._on_change = on_change
+        self._loop = asyncio.get_running_loop()
+
+    def entry_changed(self, entry: DirectoryEntry) -> None:
+        """The directory lists an instance."""
+        known = self._topology.instances.get(entry.instance)
+        claims = self._topology.entry_changed(entry)
+        if claims or known is None or known.entry.draining != entry.draining:
+            log_event(
+                "instance_listed",
+                group=self._topology.settings.name,
+                instance=entry.instance,
+                claims_primary=entry.claims_primary,
+                draining=entry.draining,
+                revision=entry.revision,
+            )
+        self._on_change()
+
+    def entry_gone(self, instance: str, removal_unseen: bool = False) -> None:
+        """The directory no longer lists an instance; `removal_unseen`: it may come back."""
+        self._topology.entry_gone(instance, self._loop.time(), removal_unseen)
+        log_event(
+            "instance_gone",
+            group=self._topology.settings.name,
+            instance=instance,
+            lapsed=removal_unseen,
+        )
+        self._on_change()
+
+    def take_status(self, status: InstanceStatus) -> None:
+        """An instance reported its status."""
+        now = self._loop.time()
+        before = self._topology.primary(now)
+        self._topology.take_status(status)
+        after = self._topology.primary(now)
+        if before != after:
+            self._primary_changed(after, status.instance)
+
+    def _primary_changed(self, primary: PrimaryView | None, reported_by: str) -> None:
+        self._breakers.succeeded(Dependency.LEAD_PROOF, Dependency.COMMIT)
+        if primary is not None:
+            self._commits.log_before(primary.term)
+        log_event(
+            "primary_changed",
+            group=self._topology.settings.name,
+            instance=primary.instance if primary else "",
+            term=primary.term if primary else 0,
+            reported_by=reported_by,
+        )
+        self._on_change()
--- a/src/orchidwind/promoted/proxy_runtime.py
+++ b/src/orchidwind/promoted/proxy_runtime.py
@@ -239,7 +239,7 @@
         self.groups[name] = group
         for entry in self.directory.values():
             if entry.group == name:
-                group.entry_changed(entry)
+                group.view_changes.entry_changed(entry)
         self.rosters.apply(name)
         services = SupervisionServices(
             lock=self._lock,
@@ -292,14 +292,14 @@
         self.directory[entry.instance] = entry
         group = self.groups.get(entry.group)
         if group is not None:
-            group.entry_changed(entry)
+            group.view_changes.entry_changed(entry)
 
     def instance_gone(self, instance: str, removal_unseen: bool = False) -> None:
         """An instance is no longer listed; `removal_unseen`: it may come back."""
         entry = self.directory.pop(instance, None)
         group = self.groups.get(entry.group) if entry is not None else None
         if group is not None:
-            group.entry_gone(instance, removal_unseen)
+            group.view_changes.entry_gone(instance, removal_unseen)
 
     def _note_prepared(self) -> None:
         if self.configuration is None or not self.homes.known:
