--- a/src/orchidwind/promoted/peers/peer_link.py
+++ b/src/orchidwind/promoted/peers/peer_link.py
@@ -1,11 +1,19 @@
-"""A link to another proxy: carries the commands of many sessions, and finds out when it is gone."""
+"""A link to another proxy: carries the commands of many sessions, and finds out when it is gone.
+
+For: `forwarding` (commands), `views.peer_views` (queries of views), `group.lease_keeper` (queries
+of the promotion lock). Owns one connection, opens it anew when it is lost, and matches answers to
+what was asked. Relies on `promoted.core.link_silence` for when a link is silent and when it is
+tried again. What becomes of a command whose link was lost, `promoted.core.peer_loss` decides.
+"""
 
 from __future__ import annotations
 
 import asyncio
 from itertools import count
 
+from orchidwind.promoted.core import link_silence
 from orchidwind.promoted.core.homes import ProxyMember
+from orchidwind.promoted.core.link_silence import LinkSilence, ReopenPause
 from orchidwind.promoted.core.peer_messages import (
     Alive,
     CommandAnswer,
@@ -18,25 +26,12 @@
     ViewQuery,
     ViewReport,
 )
+from orchidwind.promoted.peers.silence_watch import SilenceWatch, WatchedLink
 from orchidwind.promoted.ports import PeerConnection, PeerConnector
 from orchidwind.shared.core.errors import PeerUnavailable
 from orchidwind.shared.logs import log_event
 from orchidwind.shared.silence import ConnectionKind, OnSilent, SilentConnection, log_silent
 
-CONNECT_SECONDS = 0.4
-PROBE_AFTER_SECONDS = 0.15
-SILENT_SECONDS = 0.4
-_LOOK_SECONDS = 0.05
-# An open connection may fall silent for good, without a reset. One that was used lately is probed
-# when nothing was heard for so long, so that no request finds out first.
-REST_PROBE_SECONDS = 1.0
-_IN_USE_SECONDS = 5.0
-# Between attempts to open a lost link anew. No request waits for them, so they may come often: a
-# cut that has healed is noticed within a second, and a machine that is gone costs a packet each.
-_FIRST_PAUSE_SECONDS = 0.25
-_LONGEST_PAUSE_SECONDS = 1.0
-
-
 Answer = CommandAnswer | LockReport | ViewReport
 
 
@@ -65,18 +60,15 @@
         self._opening: asyncio.Task[PeerConnection] | None = None
         self._pending: dict[int, asyncio.Future[Answer]] = {}
         self._numbers = count(1)
-        self._heard_at = 0.0
-        self._opened_at = 0.0
-        self._used_at = float("-inf")
-        # Since when the other side owes an answer and has said nothing; None: it owes none. Also an
-        # answer that nobody waits for any more is owed.
-        self._owed_since: float | None = None
+        self._silence = LinkSilence()
+        self._silence_watch = SilenceWatch(
+            self._silence, WatchedLink(self._last_byte_at, self._probe, self._give_up)
+        )
+        # Lost, and not answered on a new connection yet.
         self._down = False
         self._closed = False
         self._reopening: asyncio.TimerHandle | None = None
-        self._pause = _FIRST_PAUSE_SECONDS
-        self._watching: asyncio.TimerHandle | None = None
-        self._resting: asyncio.TimerHandle | None = None
+        self._pause = ReopenPause()
 
     def usable(self) -> bool:
         """Whether new work may go there."""
@@ -118,10 +110,9 @@
         answered: asyncio.Future[Answer] = self._loop.create_future()
         self._pending[message.number] = answered
         connection.send(message)
-        self._expect_answer()
+        self._silence_watch.asked()
         if in_use:
-            self._used_at = self._loop.time()
-            self._watch_rest()
+            self._silence_watch.used()
         try:
             return await answered
         finally:
@@ -163,34 +154,31 @@
 
     def _begin_opening(self) -> asyncio.Task[PeerConnection]:
         attempt = self._loop.create_task(self._connect())
-        attempt.add_done_callback(self._opened)
+        attempt.add_done_callback(self._opening_ended)
         self._opening = attempt
         return attempt
 
     async def _connect(self) -> PeerConnection:
         try:
-            async with asyncio.timeout(CONNECT_SECONDS):
+            async with asyncio.timeout(link_silence.LINK_CONNECT_SECONDS):
                 opened = await self._connector.connect(self.member, self._take, self._broken)
         except (PeerUnavailable, TimeoutError) as error:
             self._note_lost(str(error) or "no answer to a new link")
             raise PeerUnavailable("the home cannot be reached", sent=False) from error
         opened.send(Greeting(self._own))
         self._connection = opened
-        self._heard_at = self._opened_at = self._loop.time()
-        self._owed_since = None
+        self._silence.opened(self._loop.time())
         log_event("home_connected", home=self.member.name)
         return opened
 
-    def _opened(self, attempt: asyncio.Task[PeerConnection]) -> None:
+    def _opening_ended(self, attempt: asyncio.Task[PeerConnection]) -> None:
         self._opening = None
         if not attempt.cancelled():
             # Those that wait raise it; where nobody waits any more it has been logged.
             attempt.exception()
 
     def _take(self, message: PeerMessage) -> None:
-        self._heard_at = self._loop.time()
-        # One that takes links but never answers must not be tried at every command.
-        self._pause = _FIRST_PAUSE_SECONDS
+        self._pause.reset()
         self.lost_since = None
         self._down = False
         if isinstance(message, Answer):
@@ -201,7 +189,7 @@
             if message.leaving != self.leaving:
                 log_event("home_leaving", home=self.member.name, leaving=message.leaving)
             self.leaving = message.leaving
-        self._owed_since = self._heard_at if self._pending else None
+        self._silence.received(self._loop.time(), more_owed=bool(self._pending))
 
     def _broken(self, reason: str) -> None:
         if self._connection is not None:
@@ -209,7 +197,7 @@
 
     def _lost(self, reason: str) -> None:
         connection, self._connection = self._connection, None
-        self._owed_since = None
+        self._silence.ended()
         if connection is not None:
             connection.close()
         # A proxy that stopped may be back at once: it is not leaving any more.
@@ -229,71 +217,45 @@
         if self._reopening is not None:
             self._reopening.cancel()
         if not self._closed:
-            self._reopening = self._loop.call_later(self._pause, self._reopen)
-        self._pause = min(self._pause * 2, _LONGEST_PAUSE_SECONDS)
+            self._reopening = self._loop.call_later(self._pause.take(), self._reopen)
 
     def _reopen(self) -> None:
         """Open the link anew; it counts once the other side has answered."""
         self._reopening = None
         if self._opening is None and self._connection is None:
-            self._begin_opening().add_done_callback(self._greet_again)
+            self._begin_opening().add_done_callback(self._probe_again)
 
-    def _greet_again(self, attempt: asyncio.Task[PeerConnection]) -> None:
+    def _probe_again(self, attempt: asyncio.Task[PeerConnection]) -> None:
         if attempt.cancelled() or attempt.exception() is not None:
             return
         attempt.result().send(Probe())
-        self._reopening = self._loop.call_later(SILENT_SECONDS, self._expect_greeting)
+        wait = link_silence.LINK_SILENT_SECONDS
+        self._reopening = self._loop.call_later(wait, self._expect_first_answer)
 
-    def _expect_greeting(self) -> None:
+    def _expect_first_answer(self) -> None:
         self._reopening = None
         if self._down and self._connection is not None:
-            self._found_silent(self._loop.time() - self._opened_at)
-            self._lost("silent")
+            self._give_up(self._silence.open_for(self._loop.time()))
 
     # --- silence ------------------------------------------------------------------------------
 
-    def _expect_answer(self) -> None:
-        """The other side owes an answer from now on, if it did not before."""
-        if self._owed_since is None:
-            self._owed_since = self._loop.time()
-        if self._watching is None:
-            self._watching = self._loop.call_later(PROBE_AFTER_SECONDS, self._look)
-
-    def _look(self) -> None:
-        """While answers are owed: probe a silent home, and give it up when it stays silent."""
-        self._watching = None
-        if self._owed_since is None or self._connection is None:
-            return
-        # A long answer that is arriving is a sign of life before it is whole.
-        silent = self._loop.time() - max(self._owed_since, self._connection.heard_at)
-        if silent > SILENT_SECONDS:
-            self._found_silent(silent)
-            self._lost("silent")
-            return
-        if silent > PROBE_AFTER_SECONDS:
-            self._connection.send(Probe())
-        self._watching = self._loop.call_later(_LOOK_SECONDS, self._look)
-
-    def _found_silent(self, seconds: float) -> None:
-        opened_for = self._loop.time() - self._opened_at
-        owed = len(self._pending)
-        decision = "its commands are told, it is opened anew" if owed else "it is opened anew"
-        kind = ConnectionKind.PEER_LINK
-        self._on_silent(
-            SilentConnection(kind, self.member.name, opened_for, seconds, owed, decision)
-        )
+    def _last_byte_at(self) -> float | None:
+        return None if self._connection is None else self._connection.last_byte_at
 
-    def _watch_rest(self) -> None:
-        if self._resting is None:
-            self._resting = self._loop.call_later(REST_PROBE_SECONDS, self._look_at_rest)
+    def _probe(self) -> None:
+        self.notify(Probe())
 
-    def _look_at_rest(self) -> None:
-        """While the link is in use: probe it where nothing is owed and nothing was heard."""
-        self._resting = None
-        now = self._loop.time()
-        if self._connection is None or now - self._used_at > _IN_USE_SECONDS:
-            return
-        if self._owed_since is None and now - self._heard_at >= REST_PROBE_SECONDS:
-            self._connection.send(Probe())
-            self._expect_answer()
-        self._watch_rest()
+    def _give_up(self, silent_for: float) -> None:
+        """The link is silent: who waits is told, and it is opened anew."""
+        pending = len(self._pending)
+        self._on_silent(
+            SilentConnection(
+                ConnectionKind.PEER_LINK,
+                self.member.name,
+                self._silence.open_for(self._loop.time()),
+                silent_for,
+                pending,
+                "its commands are told, it is opened anew" if pending else "it is opened anew",
+            )
+        )
+        self._lost("silent")
--- a/src/orchidwind/promoted/ports.py
+++ b/src/orchidwind/promoted/ports.py
@@ -134,7 +134,7 @@
     """An open connection to another proxy."""
 
     @property
-    def heard_at(self) -> float:
+    def last_byte_at(self) -> float:
         """When bytes came last, also of a message that is not whole yet; steady clock, seconds."""
 
     def send(self, message: PeerMessage) -> None:
--- a/src/orchidwind/promoted/views/peer_views.py
+++ b/src/orchidwind/promoted/views/peer_views.py
@@ -18,6 +18,7 @@
 from orchidwind.promoted.core.configuration import DirectoryEntry, PromotedConfiguration
 from orchidwind.promoted.core.freshness import FollowTimes
 from orchidwind.promoted.core.homes import ProxyMember, zone_readers
+from orchidwind.promoted.core.link_silence import LINK_REST_PROBE_SECONDS
 from orchidwind.promoted.core.peer_messages import (
     ConfigurationView,
     DirectoryView,
@@ -26,7 +27,7 @@
     ViewReport,
 )
 from orchidwind.promoted.metrics import ProxyMetrics
-from orchidwind.promoted.peers.peer_link import REST_PROBE_SECONDS, PeerLink
+from orchidwind.promoted.peers.peer_link import PeerLink
 from orchidwind.promoted.peers.peer_network import PeerNetwork
 from orchidwind.promoted.ports import Changes, Listing
 from orchidwind.promoted.views.collection_watch import CollectionWatch, ReportedView
@@ -65,7 +66,7 @@
         # With an older view the store would be read at once: then the next proxy is asked, too.
         self._fresh_seconds = times.read_at_age or 0.0
         self._whole_seconds = times.whole_wait
-        self._seldom = times.ask_every is None or times.ask_every > REST_PROBE_SECONDS
+        self._seldom = times.ask_every is None or times.ask_every > LINK_REST_PROBE_SECONDS
         self._network = network
         self._followers = followers
         self._items = items
--- a/src/orchidwind_bench/promoted/simulation/peers.py
+++ b/src/orchidwind_bench/promoted/simulation/peers.py
@@ -9,8 +9,9 @@
 
 from orchidwind.promoted.core.homes import ProxyMember
 from orchidwind.promoted.core.peer_messages import PeerMessage
+from orchidwind.promoted.peers.home_ports import LinkWriter
 from orchidwind.promoted.peers.peer_codec import encode_peer
-from orchidwind.promoted.peers.peer_service import LinkWriter, ServedLink
+from orchidwind.promoted.peers.served_link import ServedLink
 from orchidwind.promoted.proxy_runtime import ProxyRuntime
 from orchidwind.shared.core.errors import PeerUnavailable
 from orchidwind_bench.promoted.simulation.network import LATENCY_SECONDS
@@ -64,7 +65,7 @@
         self._on_message = on_message
         self._on_lost = on_lost
         self._service = links.nodes[home].peer_service
-        self.heard_at = asyncio.get_running_loop().time()
+        self.last_byte_at = asyncio.get_running_loop().time()
         self._served: ServedLink = self._service.link(
             LinkWriter(self._send_back, self._drained, self.close)
         )
@@ -94,7 +95,7 @@
                 return
             if self._links.world.network.passes(sender, receiver):
                 if receiver == self.front:
-                    self.heard_at = asyncio.get_running_loop().time()
+                    self.last_byte_at = asyncio.get_running_loop().time()
                 deliver()
 
         if sender not in self._links.world.network.rates:
--- a/tests/promoted/test_large_configurations.py
+++ b/tests/promoted/test_large_configurations.py
@@ -13,7 +13,8 @@
 from orchidwind.promoted.callers.session_registry import SessionRegistry
 from orchidwind.promoted.core.homes import zone_readers
 from orchidwind.promoted.core.peer_messages import ViewQuery, ViewReport
-from orchidwind.promoted.peers.peer_service import HomePorts, LinkWriter, PeerService
+from orchidwind.promoted.peers.home_ports import HomePorts, LinkWriter
+from orchidwind.promoted.peers.peer_service import PeerService
 from orchidwind.promoted.views.followed_views import ProxyBounds
 from orchidwind.promoted.views.peer_views import CONFIGURATION
 from orchidwind_bench.promoted.simulation.callers import PromotedSystem
--- /dev/null
+++ b/tests/promoted/test_link_silence.py
@@ -0,0 +1,98 @@
+"""The rule of an open link between proxies: when it is probed, given up, and tried again."""
+
+import pytest
+
+from orchidwind.promoted.core.link_silence import (
+    FIRST_REOPEN_PAUSE_SECONDS,
+    LINK_IN_USE_SECONDS,
+    LINK_PROBE_AFTER_SECONDS,
+    LINK_REST_PROBE_SECONDS,
+    LINK_SILENT_SECONDS,
+    LONGEST_REOPEN_PAUSE_SECONDS,
+    LinkCheck,
+    LinkSilence,
+    ReopenPause,
+)
+
+OPENED_AT = 100.0
+NEVER = float("-inf")
+
+
+def opened():
+    silence = LinkSilence()
+    silence.opened(OPENED_AT)
+    return silence
+
+
+@pytest.mark.parametrize(
+    ("silent_for", "expected"),
+    [
+        (LINK_PROBE_AFTER_SECONDS - 0.01, LinkCheck.WAIT),
+        (LINK_PROBE_AFTER_SECONDS + 0.01, LinkCheck.PROBE),
+        (LINK_SILENT_SECONDS - 0.01, LinkCheck.PROBE),
+        (LINK_SILENT_SECONDS + 0.01, LinkCheck.GIVE_UP),
+    ],
+)
+def test_an_owed_answer_is_probed_for_then_given_up(silent_for, expected):
+    silence = opened()
+    silence.asked(OPENED_AT + 7)
+    assert silence.check(OPENED_AT + 7 + silent_for, NEVER) is expected
+
+
+def test_the_first_answer_that_is_owed_counts():
+    silence = opened()
+    silence.asked(OPENED_AT)
+    silence.asked(OPENED_AT + LINK_SILENT_SECONDS)
+    assert silence.check(OPENED_AT + LINK_SILENT_SECONDS + 0.01, NEVER) is LinkCheck.GIVE_UP
+
+
+def test_parts_of_a_message_are_a_sign_of_life():
+    silence = opened()
+    silence.asked(OPENED_AT)
+    now = OPENED_AT + 10
+    assert silence.check(now, last_byte_at=now - 0.01) is LinkCheck.WAIT
+    assert silence.silent_for(now, now - 0.01) == pytest.approx(0.01)
+
+
+def test_nothing_is_silent_while_nothing_is_owed():
+    silence = opened()
+    assert silence.check(OPENED_AT + 60, NEVER) is LinkCheck.WAIT
+    silence.asked(OPENED_AT)
+    silence.received(OPENED_AT + 1, more_owed=False)
+    assert not silence.owed
+    silence.asked(OPENED_AT + 2)
+    silence.ended()
+    assert not silence.owed
+    assert silence.silent_for(OPENED_AT + 60, NEVER) == 0.0
+
+
+def test_a_message_beside_owed_answers_begins_the_wait_anew():
+    silence = opened()
+    silence.asked(OPENED_AT)
+    silence.received(OPENED_AT + 0.3, more_owed=True)
+    assert silence.check(OPENED_AT + 0.6, NEVER) is LinkCheck.PROBE
+
+
+def test_a_link_in_use_is_probed_at_rest():
+    silence = opened()
+    silence.used(OPENED_AT)
+    due_at = OPENED_AT + LINK_REST_PROBE_SECONDS
+    assert not silence.rest_probe_due(due_at - 0.01)
+    assert silence.rest_probe_due(due_at)
+    assert silence.in_use(OPENED_AT + LINK_IN_USE_SECONDS)
+    assert not silence.in_use(OPENED_AT + LINK_IN_USE_SECONDS + 0.01)
+    silence.asked(due_at)
+    assert not silence.rest_probe_due(due_at)
+
+
+def test_a_link_that_was_never_used_is_not_in_use():
+    assert not opened().in_use(OPENED_AT)
+
+
+def test_pauses_grow_to_a_bound_until_the_other_side_answers():
+    pause = ReopenPause()
+    taken = [pause.take() for _ in range(5)]
+    assert taken[:2] == [FIRST_REOPEN_PAUSE_SECONDS, 2 * FIRST_REOPEN_PAUSE_SECONDS]
+    assert taken[-1] == LONGEST_REOPEN_PAUSE_SECONDS
+    pause.reset()
+    assert pause.take() == FIRST_REOPEN_PAUSE_SECONDS
--- a/tests/promoted/test_peer_streams.py
+++ b/tests/promoted/test_peer_streams.py
@@ -31,8 +31,9 @@
     ViewQuery,
     ViewReport,
 )
+from orchidwind.promoted.peers.home_ports import HomePorts
 from orchidwind.promoted.peers.peer_codec import DecodeError, FrameCutter, decode_peer, encode_peer
-from orchidwind.promoted.peers.peer_service import HomePorts, PeerService
+from orchidwind.promoted.peers.peer_service import PeerService
 from orchidwind.promoted.peers.peer_streams import PeerListener, PeerStreamConnector
 from orchidwind.shared.core.positions import Position
 from orchidwind_bench.processes import free_ports
