--- a/src/orchidwind/promoted/peers/forwarding.py
+++ b/src/orchidwind/promoted/peers/forwarding.py
@@ -1,4 +1,9 @@
-"""Sends the commands of one caller's session to the homes of its group."""
+"""Sends the commands of one caller's session to the homes of its group.
+
+For: `callers.session_executor`, where this proxy is no home of the group. Owns at which home the
+session's transaction is open. Relies on `peer_link` to send, on `core.forwarded_commands` for the
+messages and on `core.peer_loss` for what becomes of a command whose home was lost.
+"""
 
 from __future__ import annotations
 
@@ -9,18 +14,21 @@
 from orchidwind.promoted.callers.command_runner import TimeLimits
 from orchidwind.promoted.core.commands import Command, CommandKind, CommandResult
 from orchidwind.promoted.core.flow_parts import CommandContext
-from orchidwind.promoted.core.peer_loss import after_lost_home
-from orchidwind.promoted.core.peer_messages import (
-    CloseChannel,
-    CommandAnswer,
-    RunCommand,
-    SettingValue,
+from orchidwind.promoted.core.forwarded_commands import (
+    CommandNumbers,
+    TimeLeft,
+    TransactionProgress,
+    result_at_front,
+    run_command,
 )
+from orchidwind.promoted.core.peer_loss import after_lost_home
+from orchidwind.promoted.core.peer_messages import CloseChannel, CommandAnswer, RunCommand
 from orchidwind.promoted.core.session import Session
 from orchidwind.promoted.peers.peer_link import PeerLink
 from orchidwind.shared.core.errors import ErrorKind, PeerUnavailable, RequestError
 
-# The home answers at the deadline by itself; this is for the way back.
+# The home answers at the deadline by itself; this is for the way back, seconds. Chosen: the way
+# between two zones takes some milliseconds, on a slow machine some dozens.
 _ANSWER_GRACE_SECONDS = 0.05
 
 
@@ -58,19 +66,16 @@
 
     async def run(self, context: CommandContext, limits: TimeLimits) -> CommandResult | None:
         """Carry a command out; None where no home is left. Raises RequestError."""
-        session, command = self._session, context.command
-        if command.kind is CommandKind.ROLLBACK and self._open is None:
-            session.end_transaction()
-            return CommandResult()
+        if context.command.kind is CommandKind.ROLLBACK and self._open is None:
+            return self._rolled_back()
         while (channel := self._channel(context.database.group)) is not None:
             try:
                 answer = await self._ask(channel, context, limits)
             except PeerUnavailable as lost:
                 context.note(channel.link.member.name, f"home_lost:sent={lost.sent}")
-                error = self._lose_home(command, lost.sent)
-                if command.kind is CommandKind.ROLLBACK:
-                    session.end_transaction()
-                    return CommandResult()
+                error = self._lose_home(context.command, lost.sent)
+                if context.command.kind is CommandKind.ROLLBACK:
+                    return self._rolled_back()
                 if error is not None:
                     raise error from lost
                 limits = limits.held_anew(self._loop.time())
@@ -78,6 +83,11 @@
             return self._take(channel, context, answer)
         return None
 
+    def _rolled_back(self) -> CommandResult:
+        """Nothing is open at any home, or it went away with its home."""
+        self._session.end_transaction()
+        return CommandResult()
+
     def _channel(self, group: str) -> _OpenChannel | None:
         if self._open is not None:
             return self._open
@@ -105,38 +115,22 @@
     def _message(
         self, channel: _OpenChannel, context: CommandContext, limits: TimeLimits
     ) -> RunCommand:
-        session, command, database = self._session, context.command, context.database
-        transaction = session.transaction
         now = self._loop.time()
-        progress = "none"
-        if transaction is not None:
-            progress = "begins" if self._open is None else "continues"
-        executes = command.kind is CommandKind.EXECUTE
-        return RunCommand(
-            number=channel.link.next_number(),
-            channel=channel.number,
-            group=database.group,
-            database=database.name,
-            consistency=database.consistency.value,
-            staleness=database.staleness,
-            priority=database.priority,
-            timeout=database.statement_timeout,
-            kind=command.kind.value,
-            request_id=command.request_id,
-            text=command.text,
-            argument=command.argument,
-            prepared=session.prepared_for(command) if executes else None,
-            settings=tuple(SettingValue(*item) for item in session.settings.items()),
-            floor=session.floor,
-            transaction=progress,
-            read_only=transaction is not None and transaction.read_only,
-            remaining=limits.deadline - now,
-            hold=limits.hold_until - now,
+        progress = TransactionProgress.NONE
+        if self._session.transaction is not None:
+            opened = self._open is not None
+            progress = TransactionProgress.CONTINUES if opened else TransactionProgress.BEGINS
+        return run_command(
+            context,
+            CommandNumbers(channel.link.next_number(), channel.number),
+            progress,
+            TimeLeft(limits.deadline - now, limits.hold_until - now),
         )
 
     def _take(
         self, channel: _OpenChannel, context: CommandContext, answer: CommandAnswer
     ) -> CommandResult:
+        """An answer came: what the caller gets; raises RequestError."""
         session, kind = self._session, context.command.kind
         session.raise_floor(answer.floor)
         context.note(channel.link.member.name, f"home:{answer.attempts}")
@@ -145,16 +139,11 @@
         self._open = None
         if answer.error:
             self._end_if_commit(kind)
-            raise RequestError(
-                ErrorKind(answer.error),
-                answer.message,
-                retry_after_milliseconds=answer.retry_after_milliseconds,
-            )
-        if kind in (CommandKind.COMMIT, CommandKind.ROLLBACK):
+        elif kind in (CommandKind.COMMIT, CommandKind.ROLLBACK):
             session.end_transaction()
         elif session.transaction is not None:
             self._open = channel
-        return CommandResult(answer.rows, answer.signature)
+        return result_at_front(answer)
 
     def _timed_out(self, command: Command) -> RequestError:
         """The home did not answer in time; it has been told to begin nothing more."""
--- /dev/null
+++ b/src/orchidwind/promoted/peers/home_ports.py
@@ -0,0 +1,45 @@
+"""What the home's side of a link needs of its proxy, and of the connection it sends on.
+
+For: `peer_service`, `served_link`, `remote_session`; whoever runs a proxy fills them in.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Awaitable, Callable
+from dataclasses import dataclass
+
+from orchidwind.promoted.callers.session_registry import SessionRegistry
+from orchidwind.promoted.core.peer_messages import LockReport, PeerMessage, ViewQuery, ViewReport
+from orchidwind.promoted.group.group_service import GroupService
+
+SendBack = Callable[[PeerMessage], None]
+GroupLookup = Callable[[str], GroupService | None]
+ReadLock = Callable[[int], Awaitable[LockReport]]
+ReportView = Callable[[ViewQuery], ViewReport]
+
+
+@dataclass(frozen=True, slots=True)
+class HomePorts:
+    """What the service needs of its proxy.
+
+    `read_lock` takes the number of a query and gives the promotion lock as the store has it.
+    `transaction_idle` gives for how many seconds a transaction may rest.
+    """
+
+    groups: GroupLookup
+    registry: SessionRegistry
+    read_lock: ReadLock
+    transaction_idle: Callable[[], float]
+    report_view: ReportView
+
+
+@dataclass(frozen=True, slots=True)
+class LinkWriter:
+    """The way back on a link.
+
+    `send` does not wait. `drained` waits until what was sent has left, `close` resets.
+    """
+
+    send: SendBack
+    drained: Callable[[], Awaitable[None]]
+    close: Callable[[], None]
--- a/src/orchidwind/promoted/peers/peer_streams.py
+++ b/src/orchidwind/promoted/peers/peer_streams.py
@@ -18,7 +18,8 @@
 
 from orchidwind.promoted.core.homes import ProxyMember
 from orchidwind.promoted.core.peer_messages import PeerMessage
-from orchidwind.promoted.peers.peer_service import LinkWriter, PeerService
+from orchidwind.promoted.peers.home_ports import LinkWriter
+from orchidwind.promoted.peers.peer_service import PeerService
 from orchidwind.shared.core.errors import PeerUnavailable
 from orchidwind.shared.sockets import client_socket, watchful
 
@@ -41,7 +42,7 @@
         self._reader: asyncio.Task[None] | None = None
         self._written: asyncio.Future[None] | None = None
         self._loop = asyncio.get_running_loop()
-        self.heard_at = self._loop.time()
+        self.last_byte_at = self._loop.time()
 
     def send(self, message: PeerMessage) -> None:
         """Send a message; nothing happens where the connection is gone."""
@@ -61,7 +62,7 @@
         try:
             while True:
                 frames.feed(await self._stream.read_bytes(_READ_BYTES, partial=True))
-                self.heard_at = self._loop.time()
+                self.last_byte_at = self._loop.time()
                 if self._given_up():
                     self.close()
                     return "given up by the other side"
--- a/src/orchidwind/promoted/proxy_runtime.py
+++ b/src/orchidwind/promoted/proxy_runtime.py
@@ -23,8 +23,9 @@
 from orchidwind.promoted.group.operator_status import OperatorStatus, group_status
 from orchidwind.promoted.group.roster_keeper import RosterKeeper
 from orchidwind.promoted.metrics import ProxyMetrics
+from orchidwind.promoted.peers.home_ports import HomePorts
 from orchidwind.promoted.peers.peer_network import PeerNetwork
-from orchidwind.promoted.peers.peer_service import HomePorts, PeerService
+from orchidwind.promoted.peers.peer_service import PeerService
 from orchidwind.promoted.ports import ProxyPorts
 from orchidwind.promoted.views.collection_watch import CollectionWatch
 from orchidwind.promoted.views.followed_views import GATHER_MEMBERS_SECONDS, ProxyBounds, ProxyViews
