--- a/src/orchidwind/promoted/core/homes.py
+++ b/src/orchidwind/promoted/core/homes.py
@@ -22,16 +22,30 @@
 
 from orchidwind.shared.core.rendezvous import first, rank
 
-# With fewer than these to each instance, requests of one proxy wait for one another's connections.
+# Connections of a proxy to each instance. Chosen: with fewer, its requests wait for one another's.
 FEWEST_USEFUL_CONNECTIONS = 4
+# Connections of a home to each instance where few proxies are homes. Chosen: half more than the
+# fewest, as a home carries the requests of several proxies.
 CONNECTIONS_OF_A_HOME = 6
 # One can be lost, and requests still have a home in their zone.
 MOST_HOMES_A_ZONE = 2
 # How many groups a proxy may be home of before more proxies of the zone share them. Four groups and
 # 750 requests a second kept the busiest of ten homes at 0.07 of a core (docs/CAPACITY.md).
 GROUPS_OF_A_HOME = 10
+# Connections that a home opens at least, whatever its share. Chosen: a transaction that rests must
+# not stop all other requests; an instance that is over its limit refuses the others.
 _FEWEST_CONNECTIONS = 2
 _SHARED_KEY = "shared-homes"
+# A proxy that was not reached for so many seconds is taken off the list of proxies. Chosen: long
+# beside a restart (a second); its lost link keeps requests away from it until then.
+FORGET_PROXY_SECONDS = 30.0
+# A list that does not name a proxy is believed so many seconds after the proxy wrote its entry.
+# Chosen: half of the age that the list may have (`ProxyBounds.members`).
+OWN_ENTRY_LISTED_AFTER_SECONDS = 10.0
+_LOCK_READER_KEY = "promotion-lock"
+# How many proxies read the promotion lock for the others. Chosen: the store may turn one away and
+# serve the other; they sit in different zones.
+_LOCK_READERS = 2
 
 
 @dataclass(frozen=True, slots=True)
@@ -100,6 +114,22 @@
     return readers
 
 
+def lock_readers(members: Iterable[ProxyMember]) -> list[ProxyMember]:
+    """Which proxies read the promotion lock for the others, in the order in which to ask them."""
+    chosen: list[ProxyMember] = []
+    candidates = {member.name: member for member in members}
+    while len(chosen) < _LOCK_READERS:
+        name = first(_LOCK_READER_KEY, sorted(candidates))
+        if name is None:
+            break
+        reader = candidates[name]
+        chosen.append(reader)
+        candidates = {
+            member.name: member for member in candidates.values() if member.zone != reader.zone
+        }
+    return chosen
+
+
 def _chosen(
     group: str, connection_limit: int, by_zone: Mapping[str, list[ProxyMember]], groups: int
 ) -> list[ProxyMember]:
--- a/src/orchidwind/promoted/peers/peer_network.py
+++ b/src/orchidwind/promoted/peers/peer_network.py
@@ -1,4 +1,9 @@
-"""The other proxies as this one knows them: members, homes of the groups, links."""
+"""The other proxies as this one knows them: members, homes of the groups, links.
+
+For: callers' sessions (where does a command go), views (whom to ask), the lead lease (who reads the
+lock). Owns the list of proxies as this one holds it, and one link to each. Relies on `core.homes`
+for every choice among proxies and on `peer_link` for who can be reached.
+"""
 
 from __future__ import annotations
 
@@ -7,22 +12,19 @@
 from dataclasses import dataclass
 from itertools import count
 
-from orchidwind.promoted.core.homes import GroupHomes, ProxyMember, group_homes
+from orchidwind.promoted.core.homes import (
+    FORGET_PROXY_SECONDS,
+    GroupHomes,
+    ProxyMember,
+    group_homes,
+    lock_readers,
+)
+from orchidwind.promoted.peers.own_entry import OwnEntry
 from orchidwind.promoted.peers.peer_link import PeerLink
 from orchidwind.promoted.ports import Changes, Listing, MemberStore, PeerConnector
-from orchidwind.shared.core.errors import PlatformError
-from orchidwind.shared.core.rendezvous import first
 from orchidwind.shared.logs import log_event
 from orchidwind.shared.silence import OnSilent, log_silent
 
-FORGET_SECONDS = 30.0
-_RETRY_SECONDS = 0.25
-# Others read the members some seconds after this proxy was written; see `ProxyBounds.members`.
-_LISTED_AFTER_SECONDS = 10.0
-_LOCK_READER_KEY = "promotion-lock"
-# The store may turn one away and serve the others.
-_LOCK_READERS = 2
-
 
 @dataclass(frozen=True, slots=True)
 class LockReaders:
@@ -32,8 +34,18 @@
     after: Sequence[PeerLink] = ()
 
 
-LimitLookup = Callable[[str], int]
-StarvedLookup = Callable[[str], bool]
+@dataclass(frozen=True, slots=True)
+class GroupFacts:
+    """What the placement of groups needs to know of them.
+
+    `connection_limit`: how many connections an instance of a group takes, over all proxies.
+    `count`: how many groups there are. `starved`: whether this proxy gets no connection to a
+    group's instances.
+    """
+
+    connection_limit: Callable[[str], int]
+    count: Callable[[], int]
+    starved: Callable[[str], bool]
 
 
 class PeerNetwork:
@@ -44,74 +56,36 @@
         own: ProxyMember,
         connector: PeerConnector,
         store: MemberStore,
-        limit_of: LimitLookup,
-        groups: Callable[[], int],
-        starved: StarvedLookup,
+        groups: GroupFacts,
         on_change: Callable[[], None],
         on_silent: OnSilent = log_silent,
     ) -> None:
-        """`limit_of`: connections that a group's instances take; `groups`: how many groups.
-
-        `starved` tells whether this proxy gets no connection to a group's instances.
-        """
-        self._on_silent = on_silent
-        self._starved = starved
-        self._groups = groups
+        self.own = own
+        self.own_entry = OwnEntry(own, store)
+        # Whether the members were read since the start.
         self.known = False
         # Rises whenever members or placements may have changed.
         self.generation = 0
-        self.own = own
         self._connector = connector
-        self._store = store
-        self._limit_of = limit_of
+        self._groups = groups
         self._on_change = on_change
+        self._on_silent = on_silent
         self._members: dict[str, ProxyMember] = {own.name: own}
         self._links: dict[str, PeerLink] = {}
         self._placed: dict[str, GroupHomes] = {}
         self._preferred: dict[str, list[ProxyMember]] = {}
         self._lock_readers: list[ProxyMember] | None = None
         self._channels = count(1)
-        self._write_wanted = asyncio.Event()
-        self._written_at = float("-inf")
-        self._tasks: set[asyncio.Task[None]] = set()
         self._loop = asyncio.get_running_loop()
 
     # --- members ------------------------------------------------------------------------------
 
-    async def write_own(self) -> bool:
-        """Try to have this proxy listed; whether it is and was not before.
-
-        It is listed before it reads the members, as others may start now.
-        """
-        self._write_wanted.clear()
-        try:
-            is_new = await self._store.write(self.own)
-        except PlatformError as error:
-            log_event("member_not_written", reason=str(error))
-            self._write_wanted.set()
-            return False
-        self._written_at = self._loop.time()
-        log_event("member_written", is_new=is_new)
-        return is_new
-
-    async def keep_own(self) -> None:
-        """Have this proxy listed among the members, whenever it is not."""
-        while True:
-            await self._write_wanted.wait()
-            await asyncio.sleep(_RETRY_SECONDS)
-            await self.write_own()
-
-    def _note_missing(self) -> None:
-        """The members do not name this proxy: others took it off, or do not know it yet."""
-        if self._loop.time() - self._written_at > _LISTED_AFTER_SECONDS:
-            self._write_wanted.set()
-
     def listed(self, listing: Listing[ProxyMember]) -> bool:
         """All members, read freshly; whether they differ from those that were held."""
         before, first = self._members, not self.known
         self._members = {member.name: member for member in listing.items}
         if self.own.name not in self._members:
-            self._note_missing()
+            self.own_entry.missing()
         self._members[self.own.name] = self.own
         self.known = True
         if not first and self._members == before:
@@ -126,8 +100,7 @@
         for name in changes.gone:
             self._members.pop(name, None)
         if self.own.name in changes.gone:
-            # Another proxy could not reach this one for long, but it is here.
-            self._write_wanted.set()
+            self.own_entry.removed()
         self._members[self.own.name] = self.own
         self._changed()
 
@@ -152,7 +125,7 @@
         """The homes of a group."""
         placed = self._placed.get(group)
         if placed is None:
-            limit, groups = self._limit_of(group), self._groups()
+            limit, groups = self._groups.connection_limit(group), self._groups.count()
             placed = group_homes(group, limit, self._members.values(), groups)
             self._placed[group] = placed
             log_event(
@@ -179,7 +152,7 @@
             self._preferred[group] = preferred
         for member in preferred:
             if member.name == self.own.name:
-                if self._starved(group):
+                if self._groups.starved(group):
                     continue
                 return None
             link = self.usable_link(member)
@@ -190,7 +163,7 @@
     def lock_readers(self) -> LockReaders:
         """The proxies that read the promotion lock for others."""
         if self._lock_readers is None:
-            self._lock_readers = self._choose_lock_readers()
+            self._lock_readers = lock_readers(self._members.values())
         names = [member.name for member in self._lock_readers]
         place = names.index(self.own.name) if self.own.name in names else len(names)
         chosen = self._lock_readers
@@ -201,18 +174,6 @@
         links = (self.usable_link(member) for member in others)
         return [link for link in links if link is not None]
 
-    def _choose_lock_readers(self) -> list[ProxyMember]:
-        chosen: list[ProxyMember] = []
-        candidates = list(self._members.values())
-        while candidates and len(chosen) < _LOCK_READERS:
-            by_name = {member.name: member for member in candidates}
-            name = first(_LOCK_READER_KEY, sorted(by_name))
-            if name is None:
-                break
-            chosen.append(by_name[name])
-            candidates = [item for item in candidates if item.zone != by_name[name].zone]
-        return chosen
-
     @property
     def members(self) -> Iterable[ProxyMember]:
         """All proxies that are known, this one among them."""
@@ -240,24 +201,14 @@
     def _forget_if_gone(self, link: PeerLink) -> None:
         """Take a member off the list that has not been reached for long; it may list itself."""
         since = link.lost_since
-        if since is None or self._loop.time() - since < FORGET_SECONDS:
+        if since is None or self._loop.time() - since < FORGET_PROXY_SECONDS:
             return
+        # Counted anew, so that a removal that failed is tried again.
         link.lost_since = self._loop.time()
-        task = self._loop.create_task(self._remove(link.member.name))
-        self._tasks.add(task)
-        task.add_done_callback(self._tasks.discard)
-
-    async def _remove(self, name: str) -> None:
-        try:
-            await self._store.remove(name)
-        except PlatformError as error:
-            log_event("member_not_removed", member=name, reason=str(error))
-            return
-        log_event("member_removed", member=name)
+        self.own_entry.remove_other(link.member.name)
 
     def close(self) -> None:
         """Cut all links."""
-        for task in self._tasks:
-            task.cancel()
+        self.own_entry.close()
         for link in self._links.values():
             link.close()
--- a/src/orchidwind/promoted/proxy_runtime.py
+++ b/src/orchidwind/promoted/proxy_runtime.py
@@ -24,7 +24,7 @@
 from orchidwind.promoted.group.roster_keeper import RosterKeeper
 from orchidwind.promoted.metrics import ProxyMetrics
 from orchidwind.promoted.peers.home_ports import HomePorts
-from orchidwind.promoted.peers.peer_network import PeerNetwork
+from orchidwind.promoted.peers.peer_network import GroupFacts, PeerNetwork
 from orchidwind.promoted.peers.peer_service import PeerService
 from orchidwind.promoted.ports import ProxyPorts
 from orchidwind.promoted.views.collection_watch import CollectionWatch
@@ -70,9 +70,7 @@
             own,
             ports.peers,
             ports.member_store,
-            self._connection_limit,
-            lambda: len(self.groups),
-            self._starved,
+            GroupFacts(self._connection_limit, lambda: len(self.groups), self._starved),
             self._homes_changed,
             self.metrics.silent,
         )
@@ -103,8 +101,8 @@
         self._spawn(self._log_figures)
 
     async def _follow_members(self) -> None:
-        is_new = await self.homes.write_own()
-        self._spawn(self.homes.keep_own)
+        is_new = await self.homes.own_entry.write()
+        self._spawn(self.homes.own_entry.keep)
         if is_new:
             # Where this proxy was never listed, others may start at the same moment: read them all.
             await asyncio.sleep(GATHER_MEMBERS_SECONDS)
