--- a/src/orchidwind/promoted/core/freshness.py
+++ b/src/orchidwind/promoted/core/freshness.py
@@ -1,5 +1,9 @@
 """How old a view of something kept elsewhere may become, and what is due at which age. No I/O.
 
+For: `promoted.views`, whose drivers hold the calls and timers and ask here. Owns the times of a
+followed view and every choice by them: when other proxies are asked, when the store is read anew,
+when a view is too old, how long a failed call rests. Times are in seconds of one steady clock.
+
 A proxy follows the configuration, the directory and more from afar. Silence of a source looks like
 "nothing has changed", so each view has an age: the time since it was last known to be current. A
 promise that names a time bounds that age. Everything that keeps it below the bound is a share of
@@ -8,16 +12,19 @@
     watch_wait + answer_slack                       a swallowed watch is given up       0.40
     or read_at_age + hedge_after                    a view confirmed by others ends     0.80
 
-of the bound, and a call of the store takes some milliseconds.
+of the bound, and a call of the store takes some milliseconds. The shares are chosen so that these
+sums hold; what they leave is for slow machines and slow answers. Measured: with half of all
+connections silent at once, the oldest configuration 1.7 s of 3 s and the oldest directory 2.0 s of
+4 s (docs/SILENCE.md, "Connections (promoted groups)").
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
+from enum import Enum, auto
 
-# The shares add up as told above; what they leave is for slow machines and slow answers. Two waits
-# together stay below the age at which the store is read: an answer that tells of a change may have
-# been on its way since its watch was sent, so only the next one confirms the view.
+# Two waits together stay below the age at which the store is read: an answer that tells of a change
+# may have been on its way since its watch was sent, so only the next one confirms the view.
 _WATCH_WAIT_SHARE = 0.25
 _ANSWER_SLACK_SHARE = 0.15
 _ASK_SHARE = 0.15
@@ -31,13 +38,24 @@
 _RELYING_PAUSE_SHARE = 0.3
 # A watch that nobody's promise waits for costs one call each 30 s, the longest the store allows.
 LONGEST_WATCH_SECONDS = 30.0
-# Time beyond its wait that such a watch has for its answer: a store slowed a hundredfold takes
-# 0.4 s.
+# Time beyond its wait that such a watch has for its answer. Chosen: a store slowed a hundredfold
+# takes 0.4 s.
 _UNHURRIED_SLACK_SECONDS = 1.0
-# A read without an answer is repeated after this, where no promise says otherwise.
+# Where no promise says otherwise. Chosen: a store slowed a hundredfold answers twice meanwhile.
 _UNHURRIED_HEDGE_SECONDS = 1.0
+# Chosen: an outage is found over within a second.
 _UNHURRIED_PAUSE_SECONDS = 0.5
+# Chosen; no view without a bound is long.
 _UNHURRIED_WHOLE_SECONDS = 2.0
+# So many calls at once let a store answer that needs as many times `hedge_after`. Chosen: with 0.2
+# of the bound each, a call that is given up has lasted for the whole bound.
+MOST_CALLS = 5
+# The first pause after a failed call, seconds; each further one is twice as long. Chosen: a store
+# that refused once is asked again before any bound is near.
+FIRST_PAUSE_SECONDS = 0.1
+# Between two checks at least, seconds. Chosen: a check that finds nothing to do must not be
+# repeated without a pause.
+SHORTEST_CHECK_SECONDS = 0.01
 
 
 @dataclass(frozen=True, slots=True)
@@ -140,3 +158,111 @@
     def too_old(self, now: float) -> bool:
         """Whether the view is older than the promise that rests on it allows."""
         return self._times.bound is not None and self.age(now) > self._times.bound
+
+
+class SourceRole(Enum):
+    """How a proxy comes to know that a view is current.
+
+    ALONE: by the store only. READER: by the store, and other proxies ask this one. RELYING: others
+    are asked and confirm the view.
+    """
+
+    ALONE = auto()
+    READER = auto()
+    RELYING = auto()
+
+
+class FollowRule:
+    """What is due about one followed view; it has the view's age."""
+
+    def __init__(self, times: FollowTimes, now: float) -> None:
+        self._times = times
+        self._age = ViewAge(times, now)
+
+    def age(self, now: float) -> float:
+        """Seconds since the view was last known to be current, or since the start."""
+        return self._age.age(now)
+
+    def too_old(self, now: float) -> bool:
+        """Whether the view is older than the promise that rests on it allows."""
+        return self._age.too_old(now)
+
+    def confirmed(self, as_of: float) -> None:
+        """The view was current at a time."""
+        self._age.confirmed(as_of)
+
+    def asked(self, now: float) -> None:
+        """Others are asked now."""
+        self._age.asked(now)
+
+    def watch_wait(self, role: SourceRole) -> float | None:
+        """For how long a watch of the store waits; None: the store is not watched at all."""
+        relying = role is SourceRole.RELYING
+        return self._times.relying_wait if relying else self._times.watch_wait
+
+    def watch_confirms(self, sent_at: float, answered_at: float, wait: float) -> float:
+        """As of when the answer to a watch shows the view to be current.
+
+        One that came before its wait was over may have been made at any time since it was sent.
+        """
+        return sent_at + wait if answered_at - sent_at >= wait else sent_at
+
+    def ask_due_in(self, now: float, role: SourceRole) -> float | None:
+        """Seconds until others are to be asked; None: never.
+
+        A reader asks only where its own watch should have been answered.
+        """
+        if role is SourceRole.ALONE:
+            return None
+        first_ask_age = self._times.ask_every or 0.0
+        if role is SourceRole.READER:
+            first_ask_age = self._times.watch_wait + self._times.answer_slack
+        return self._age.ask_due_in(now, first_ask_age)
+
+    def check_due_in(self, now: float, role: SourceRole, may_be_old: bool) -> float | None:
+        """Seconds until something may be due; None: nothing will be.
+
+        `may_be_old`: the store is being read, so that the view's age asks for no other reading.
+        """
+        due = [self.ask_due_in(now, role)]
+        if not may_be_old:
+            due.append(self._age.read_due_in(now))
+        times = [seconds for seconds in due if seconds is not None]
+        return max(min(times), SHORTEST_CHECK_SECONDS) if times else None
+
+    def read_due(self, now: float) -> bool:
+        """Whether the store is to be read now, whatever is waited for."""
+        return self._age.read_due_in(now) == 0.0
+
+    def answer_arriving(self, now: float, last_byte_at: float) -> bool:
+        """Whether an answer of the store is on its way, so that it is waited for."""
+        return now - last_byte_at < self._times.hedge_after
+
+    def store_unserved(self, now: float, reading_since: float | None) -> bool:
+        """Whether the store does not serve this proxy: others must send what is long, too."""
+        return reading_since is not None and now - reading_since > self._times.hedge_after
+
+    def first_view_outdated(self, now: float, as_of: float) -> bool:
+        """Whether a first view that another proxy sent is older than the promise allows.
+
+        Then the store is waited for: nothing was promised by a proxy that has no view yet.
+        """
+        return self._times.bound is not None and now - as_of > self._times.bound
+
+
+class RetryPause:
+    """The pauses between calls to the store that fail, for one view."""
+
+    def __init__(self, times: FollowTimes) -> None:
+        self._times = times
+        self.seconds = FIRST_PAUSE_SECONDS
+
+    def reset(self) -> None:
+        """The store has answered."""
+        self.seconds = FIRST_PAUSE_SECONDS
+
+    def lengthen(self, role: SourceRole) -> None:
+        """A call has failed again: the next pause is twice as long, up to a bound."""
+        relying = role is SourceRole.RELYING
+        longest = self._times.relying_pause if relying else self._times.longest_pause
+        self.seconds = min(self.seconds * 2, max(longest, FIRST_PAUSE_SECONDS))
--- a/src/orchidwind/promoted/core/link_silence.py
+++ b/src/orchidwind/promoted/core/link_silence.py
@@ -6,8 +6,7 @@
 An open connection may swallow all that is sent, for good and without an end, while a new one works.
 The other side answers a probe at once whatever else it does, so a link on which an answer is owed
 and no byte comes is silent, not busy. Measured with half of all connections silent at once in a
-fleet of 200 proxies: docs/PLATFORM.md, "Whatever lives longer than one exchange shows that it is
-alive".
+fleet of 200 proxies: docs/SILENCE.md, "Connections (promoted groups)".
 """
 
 from __future__ import annotations
@@ -27,7 +26,7 @@
 LINK_CHECK_SECONDS = 0.05
 # One that was used lately is probed when nothing came for so long, so that no request finds the
 # silence first. Measured: no more messages at 3 requests a second a proxy, 3 % at 1, 10 % at 0.4
-# (docs/PLATFORM.md).
+# (docs/SILENCE.md).
 LINK_REST_PROBE_SECONDS = 1.0
 # For so long after its last use a link is probed at rest. Chosen: what is used seldom costs the
 # fleet more in probes than its next user loses.
--- a/src/orchidwind/promoted/proxy_runtime.py
+++ b/src/orchidwind/promoted/proxy_runtime.py
@@ -29,11 +29,8 @@
 from orchidwind.promoted.ports import ProxyPorts
 from orchidwind.promoted.views.collection_watch import CollectionWatch
 from orchidwind.promoted.views.followed_views import GATHER_MEMBERS_SECONDS, ProxyBounds, ProxyViews
-from orchidwind.promoted.views.peer_views import (
-    ConfigurationFollower,
-    DirectoryFollower,
-    ViewReporter,
-)
+from orchidwind.promoted.views.view_followers import ConfigurationFollower, DirectoryFollower
+from orchidwind.promoted.views.view_reporter import ViewReporter
 from orchidwind.shared.core.errors import ErrorKind
 from orchidwind.shared.logs import log_event
 
--- a/src/orchidwind/promoted/views/collection_watch.py
+++ b/src/orchidwind/promoted/views/collection_watch.py
@@ -1,8 +1,10 @@
 """Follows a collection of the store: lists it once, then takes changes as they come.
 
+For: `followed_views`, which has one watch a view. Owns the calls under way and their repetition.
 A watch without an answer looks the same whether nothing has changed or the store never read it. So
-each view has an age (`promoted.core.freshness`): as it grows, other proxies are asked whether it is
-still current, and in the end the store is read anew, whatever was waited for.
+each view has an age: as it grows, other proxies are asked whether it is still current, and in the
+end the store is read anew, whatever was waited for. Relies on `promoted.core.freshness` for when
+each of this is due, and on `held_view` for what is held.
 """
 
 from __future__ import annotations
@@ -10,66 +12,26 @@
 import asyncio
 import logging
 from collections.abc import Awaitable
-from dataclasses import dataclass
-from typing import Generic, Protocol, TypeVar
-
-from orchidwind.promoted.core.freshness import FollowTimes, ViewAge
-from orchidwind.promoted.ports import Changes, Listing, WatchedCollection
-from orchidwind.promoted.views.hedged_call import MOST_CALLS, Arrival, hedged
+from typing import Generic, TypeVar
+
+from orchidwind.promoted.core.freshness import (
+    MOST_CALLS,
+    SHORTEST_CHECK_SECONDS,
+    FollowTimes,
+    RetryPause,
+    SourceRole,
+)
+from orchidwind.promoted.ports import WatchedCollection
+from orchidwind.promoted.views.hedged_call import Arrival, hedged
+from orchidwind.promoted.views.held_view import CollectionFollower, HeldView
+from orchidwind.promoted.views.second_path import ReportedView, SecondPath
 from orchidwind.shared.core.errors import PlatformError, PlatformVersionGone
-from orchidwind.shared.logs import log_event
 from orchidwind.shared.silence import ConnectionKind, OnSilent, SilentConnection, log_silent
 
-_FIRST_RETRY_SECONDS = 0.1
-# A check that finds nothing to do must not be repeated without a pause.
-_SHORTEST_CHECK_SECONDS = 0.01
-_STORE = "store"
-
 Item = TypeVar("Item")
-Taken = TypeVar("Taken", contravariant=True)
 Answer = TypeVar("Answer")
 
 
-class CollectionFollower(Protocol[Taken]):
-    """Takes what a watch brings."""
-
-    def listed(self, listing: Listing[Taken]) -> bool:
-        """All items as of a revision; what is missing is gone.
-
-        Whether they differ from what was held, so that others have to be told.
-        """
-
-    def changed(self, changes: Changes[Taken]) -> None:
-        """Later changes."""
-
-
-@dataclass(frozen=True, slots=True)
-class ReportedView(Generic[Item]):
-    """What another proxy told of its view, which was current at `as_of` of this one's clock.
-
-    `listing` is None where the asking proxy's own view holds the same, or with `omitted`, where the
-    other's is later and too long to be told unasked.
-    """
-
-    peer: str
-    as_of: float
-    listing: Listing[Item] | None
-    omitted: bool = False
-
-
-class SecondPath(Protocol[Item]):
-    """Other proxies that follow the same collection."""
-
-    def relied_upon(self) -> bool:
-        """Whether others ask this proxy, so that it must not rely on them in its turn."""
-
-    async def ask(self, revision: int, whole: bool) -> ReportedView[Item] | None:
-        """Ask for what is later than a revision; None where nobody knows.
-
-        With `whole` a long content is wanted, too.
-        """
-
-
 class _ReadAnew(PlatformError):
     """The store is read anew: nothing showed that the view is current, or that it is not."""
 
@@ -93,28 +55,34 @@
         """
         self.name = name
         self._source = source
-        self._follower = follower
         self._times = times
         self._gather_seconds = gather_seconds
         self._second_path = second_path
         self._on_silent = on_silent
-        # The view is whole as of this revision; it was last different before `changed_revision`.
-        self.revision = -1
-        self.changed_revision = -1
+        self._view = HeldView(name, follower, times)
+        self._rule = self._view.rule
         self._read_next = True
         self._connected = False
-        self._logged_too_old = False
-        self._retry = _FIRST_RETRY_SECONDS
+        self._pause = RetryPause(times)
         self._failed_attempts = 0
         # Since when the store is read without an answer; None where it is not being read.
-        self._unserved_since: float | None = None
+        self._reading_since: float | None = None
         self._loop = asyncio.get_running_loop()
-        self._age = ViewAge(times, self._loop.time())
 
     @property
     def age(self) -> float:
         """Seconds since the view was last known to be current, or since the start."""
-        return self._age.age(self._loop.time())
+        return self._view.age
+
+    @property
+    def revision(self) -> int:
+        """The view is whole as of this revision; -1: nothing is held yet."""
+        return self._view.revision
+
+    @property
+    def changed_revision(self) -> int:
+        """The view was last different before this revision."""
+        return self._view.changed_revision
 
     async def run(self) -> None:
         """Follow until cancelled."""
@@ -122,15 +90,15 @@
             try:
                 await self._step()
             except PlatformVersionGone:
-                self._log("watch_history_gone")
+                self._view.log("watch_history_gone")
                 self._read_next = True
             except _ReadAnew as error:
-                self._log("watch_given_up", reason=error)
+                self._view.log("watch_given_up", reason=error)
                 self._read_next = True
             except PlatformError as error:
                 await self._after_error(error)
             except Exception as error:  # a fault of this program must not end the following
-                self._log("watch_failed_unexpectedly", logging.ERROR, reason=repr(error))
+                self._view.log("watch_failed_unexpectedly", logging.ERROR, reason=repr(error))
                 await self._after_error(PlatformError(repr(error)))
 
     async def refresh(self) -> bool:
@@ -138,39 +106,37 @@
         try:
             await self._read(Arrival())
         except PlatformError as error:
-            self._log("view_not_refreshed", reason=error)
+            self._view.log("view_not_refreshed", reason=error)
             return False
         return True
 
     async def _step(self) -> None:
         if self._read_next:
-            arrival = Arrival()
-            if self._unserved_since is None:
-                self._unserved_since = self._loop.time()
-            await self._answered(self._read(arrival), arrival)
-            self._read_next = False
-            await asyncio.sleep(self._gather_seconds)
+            await self._read_whole()
             return
-        if self._relies and self._times.relying_wait is None:
+        wait = self._rule.watch_wait(self._role)
+        if wait is None:
             await self._live_on_others()
             return
-        changed = await self._watch()
+        changed = await self._watch(wait)
         if self._gather_seconds and changed:
             await asyncio.sleep(self._gather_seconds)
 
     @property
-    def _relies(self) -> bool:
-        """Whether other proxies confirm the view to this one, and none asks it."""
-        return self._second_path is not None and not self._second_path.relied_upon()
+    def _role(self) -> SourceRole:
+        if self._second_path is None:
+            return SourceRole.ALONE
+        return SourceRole.READER if self._second_path.relied_upon() else SourceRole.RELYING
 
-    async def _live_on_others(self) -> None:
-        """Take confirmations and changes from others, until they rely on this proxy instead.
+    # --- the store ----------------------------------------------------------------------------
 
-        Raises _ReadAnew where nobody confirmed the view for long, or one tells of a later one.
-        """
-        while self._relies:
-            await asyncio.sleep(self._check_due_in(may_be_old=False) or _SHORTEST_CHECK_SECONDS)
-            await self._check(may_be_old=False)
+    async def _read_whole(self) -> None:
+        arrival = Arrival()
+        if self._reading_since is None:
+            self._reading_since = self._loop.time()
+        await self._answered(self._read(arrival), arrival, may_be_old=True)
+        self._read_next = False
+        await asyncio.sleep(self._gather_seconds)
 
     async def _read(self, arrival: Arrival) -> None:
         sent_at = self._loop.time()
@@ -181,30 +147,29 @@
             arrival,
             self._outrun,
         )
-        self._take_listing(listing, sent_at, _STORE)
+        self._store_answered(listing.revision)
+        self._view.take_listing(listing, sent_at)
 
     def _outrun(self, seconds: float) -> None:
         """A read was answered beside an older one that is silent."""
-        kind, to = ConnectionKind.STORE, f"{_STORE}/GET/{self.name}"
+        kind, to = ConnectionKind.STORE, f"store/GET/{self.name}"
         decision = "a later call was answered"
         self._on_silent(SilentConnection(kind, to, seconds, seconds, 1, decision))
 
-    async def _watch(self) -> bool:
+    async def _watch(self, wait: float) -> bool:
         """Wait for changes; whether there were any."""
-        relying_wait = self._times.relying_wait if self._relies else None
-        wait = self._times.watch_wait if relying_wait is None else relying_wait
         sent_at = self._loop.time()
         arrival = Arrival()
         limit = wait + self._times.answer_slack
         call = self._source.watch(self.revision, wait, limit, arrival.note)
         changes = await self._answered(call, arrival, may_be_old=False)
-        # An answer that came early may have been made at any time since the call was sent.
-        waited_out = self._loop.time() - sent_at >= wait
-        self._take_changes(changes, sent_at + wait if waited_out else sent_at)
+        as_of = self._rule.watch_confirms(sent_at, self._loop.time(), wait)
+        self._store_answered(changes.revision)
+        self._view.take_changes(changes, as_of)
         return bool(changes.changed or changes.gone)
 
     async def _answered(
-        self, call: Awaitable[Answer], arrival: Arrival, may_be_old: bool = True
+        self, call: Awaitable[Answer], arrival: Arrival, may_be_old: bool
     ) -> Answer:
         """Wait for a call; meanwhile ask others as the view grows old.
 
@@ -213,149 +178,96 @@
         task = asyncio.ensure_future(call)
         try:
             while not task.done():
-                await asyncio.wait({task}, timeout=self._check_due_in(may_be_old))
+                due_in = self._rule.check_due_in(self._loop.time(), self._role, may_be_old)
+                await asyncio.wait({task}, timeout=due_in)
                 if not task.done():
-                    if self._loop.time() - arrival.at < self._times.hedge_after:
-                        self._unserved_since = None
-                        await self._check(may_be_old=True)
-                    else:
-                        await self._check(may_be_old)
+                    await self._check_beside(arrival, may_be_old)
             return await task
         finally:
             task.cancel()
 
-    def _check_due_in(self, may_be_old: bool) -> float | None:
-        now = self._loop.time()
-        due = [self._ask_due_in(now)]
-        if not may_be_old:
-            due.append(self._age.read_due_in(now))
-        times = [seconds for seconds in due if seconds is not None]
-        return max(min(times), _SHORTEST_CHECK_SECONDS) if times else None
+    async def _check_beside(self, arrival: Arrival, may_be_old: bool) -> None:
+        """Check the view while a call is under way; one that is arriving is not given up."""
+        arriving = self._rule.answer_arriving(self._loop.time(), arrival.at)
+        if arriving:
+            self._reading_since = None
+        await self._check(may_be_old or arriving)
 
-    def _ask_due_in(self, now: float) -> float | None:
-        if self._second_path is None:
-            return None
-        first = self._times.ask_every or 0.0
-        if self._second_path.relied_upon():
-            first = self._times.watch_wait + self._times.answer_slack
-        return self._age.ask_due_in(now, first)
+    def _store_answered(self, revision: int) -> None:
+        self._pause.reset()
+        if not self._connected:
+            self._connected = True
+            self._view.log(
+                "watch_connected", revision=revision, failed_attempts=self._failed_attempts
+            )
+        self._failed_attempts = 0
+        self._reading_since = None
+
+    async def _after_error(self, error: PlatformError) -> None:
+        self._read_next = True
+        self._connected = False
+        self._failed_attempts += 1
+        if _is_power_of_two(self._failed_attempts):
+            event = "watch_lost" if self._failed_attempts == 1 else "watch_attempt_failed"
+            self._view.log(event, attempt=self._failed_attempts, reason=error)
+        await self._check(may_be_old=True)
+        await asyncio.sleep(self._pause.seconds)
+        self._pause.lengthen(self._role)
+
+    # --- other proxies ------------------------------------------------------------------------
+
+    async def _live_on_others(self) -> None:
+        """Take confirmations and changes from others, until they rely on this proxy instead.
+
+        Raises _ReadAnew where nobody confirmed the view for long, or one tells of a later one.
+        """
+        while (role := self._role) is SourceRole.RELYING:
+            due_in = self._rule.check_due_in(self._loop.time(), role, may_be_old=False)
+            await asyncio.sleep(due_in or SHORTEST_CHECK_SECONDS)
+            await self._check(may_be_old=False)
 
     async def _check(self, may_be_old: bool) -> None:
         """Ask others where that is due; raises _ReadAnew where the store must be read."""
         knows_more = await self._ask_others()
-        now = self._loop.time()
-        self._log_if_too_old(now)
+        self._view.log_if_too_old()
         if may_be_old:
             return
         if knows_more:
             raise _ReadAnew(f"{knows_more} holds a later one")
-        if self._age.read_due_in(now) == 0.0:
+        if self._rule.read_due(self._loop.time()):
             raise _ReadAnew("nothing showed that the view is still current")
 
     async def _ask_others(self) -> str:
-        """Ask where that is due; who holds a later view and did not tell it, or nobody."""
+        """Ask where that is due; who holds a later view and did not send it, or nobody."""
         now = self._loop.time()
-        if self._second_path is None or self._ask_due_in(now) != 0.0:
+        if self._second_path is None or self._rule.ask_due_in(now, self._role) != 0.0:
             return ""
-        self._age.asked(now)
-        told = await self._second_path.ask(self.revision, whole=self._unserved(now))
-        if told is None:
+        self._rule.asked(now)
+        unserved = self._rule.store_unserved(now, self._reading_since)
+        reported = await self._second_path.ask(self.revision, whole=unserved)
+        if reported is None:
             return ""
-        if told.omitted:
-            return told.peer
-        if told.listing is None:
-            self._confirmed(told.as_of)
-        elif not self._outdated(told):
-            self._take_listing(told.listing, told.as_of, told.peer)
+        if reported.omitted:
+            return reported.peer
+        self._take_report(reported)
         return ""
 
-    def _unserved(self, now: float) -> bool:
-        """Whether the store does not serve this proxy: others must send what is long, too."""
-        since = self._unserved_since
-        return since is not None and now - since > self._times.hedge_after
-
-    def _outdated(self, told: ReportedView[Item]) -> bool:
-        """Whether a first view is older than the promise allows: then the store is waited for."""
-        bound = self._times.bound
-        first = self.revision < 0
-        return first and bound is not None and self._loop.time() - told.as_of > bound
-
-    # --- what is known --------------------------------------------------------------------------
-
-    def _take_listing(self, listing: Listing[Item], as_of: float, source: str) -> None:
-        if source == _STORE:
-            self._note_connected(listing.revision)
-        elif listing.revision > self.revision:
-            reported_age = round(self._loop.time() - as_of, 3)
-            self._log(
+    def _take_report(self, reported: ReportedView[Item]) -> None:
+        listing = reported.listing
+        if listing is None:
+            self._view.confirm(reported.as_of)
+            return
+        now = self._loop.time()
+        if not self._view.known and self._rule.first_view_outdated(now, reported.as_of):
+            return
+        if listing.revision > self.revision:
+            self._view.log(
                 "view_reported",
-                peer=source,
+                peer=reported.peer,
                 reported_revision=listing.revision,
-                reported_age=reported_age,
+                reported_age=round(now - reported.as_of, 3),
             )
-        # An answer that was overtaken by a later one tells nothing new.
-        if listing.revision >= self.revision:
-            if self._follower.listed(listing) or self.revision < 0:
-                self.changed_revision = listing.revision
-            self.revision = listing.revision
-        self._confirmed(as_of)
-
-    def _take_changes(self, changes: Changes[Item], as_of: float) -> None:
-        self._note_connected(changes.revision)
-        if changes.revision >= self.revision:
-            self.revision = changes.revision
-            if changes.changed or changes.gone:
-                self.changed_revision = changes.revision
-            self._follower.changed(changes)
-        self._confirmed(as_of)
-
-    def _confirmed(self, as_of: float) -> None:
-        self._age.confirmed(as_of)
-        if self._logged_too_old and not self._age.too_old(self._loop.time()):
-            self._logged_too_old = False
-            self._log("view_current_again")
-
-    def _log_if_too_old(self, now: float) -> None:
-        if self._logged_too_old or not self._age.too_old(now):
-            return
-        self._logged_too_old = True
-        self._log(
-            "view_too_old",
-            logging.WARNING,
-            bound=self._times.bound,
-            decision="serve on, as nobody reached knows better",
-        )
-
-    def _log(self, event: str, level: int = logging.INFO, **fields: object) -> None:
-        """Log an event with what this view is and how old."""
-        log_event(
-            event,
-            level=level,
-            collection=self.name,
-            held_revision=self.revision,
-            age=round(self.age, 3),
-            **fields,
-        )
-
-    def _note_connected(self, revision: int) -> None:
-        self._retry = _FIRST_RETRY_SECONDS
-        if not self._connected:
-            self._connected = True
-            self._log("watch_connected", revision=revision, failed_attempts=self._failed_attempts)
-        self._failed_attempts = 0
-        self._unserved_since = None
-
-    async def _after_error(self, error: PlatformError) -> None:
-        self._read_next = True
-        self._connected = False
-        self._failed_attempts += 1
-        if _is_power_of_two(self._failed_attempts):
-            event = "watch_lost" if self._failed_attempts == 1 else "watch_attempt_failed"
-            self._log(event, attempt=self._failed_attempts, reason=error)
-        await self._check(may_be_old=True)
-        await asyncio.sleep(self._retry)
-        longest = self._times.relying_pause if self._relies else self._times.longest_pause
-        self._retry = min(self._retry * 2, max(longest, _FIRST_RETRY_SECONDS))
+        self._view.take_listing(listing, reported.as_of)
 
 
 def _is_power_of_two(count: int) -> bool:
--- a/src/orchidwind/promoted/views/followed_views.py
+++ b/src/orchidwind/promoted/views/followed_views.py
@@ -1,4 +1,8 @@
-"""What a proxy follows from afar: which views, by which times, and who confirms them."""
+"""What a proxy follows from afar: which views, by which times, and who confirms them.
+
+For: `proxy_runtime`. Owns one watch a view. Relies on `core.freshness` for the times of a bound, on
+`collection_watch` to follow and on `peer_views` for the other proxies.
+"""
 
 from __future__ import annotations
 
@@ -16,12 +20,10 @@
 from orchidwind.promoted.metrics import ProxyMetrics
 from orchidwind.promoted.peers.peer_network import PeerNetwork
 from orchidwind.promoted.ports import ProxyPorts
-from orchidwind.promoted.views.collection_watch import CollectionFollower, CollectionWatch
-from orchidwind.promoted.views.peer_views import (
-    CONFIGURATION,
-    DIRECTORY,
-    MEMBERS,
-    PeerViews,
+from orchidwind.promoted.views.collection_watch import CollectionWatch
+from orchidwind.promoted.views.held_view import CollectionFollower
+from orchidwind.promoted.views.peer_views import CONFIGURATION, DIRECTORY, MEMBERS, PeerViews
+from orchidwind.promoted.views.view_forms import (
     reported_configuration,
     reported_directory,
     reported_members,
@@ -29,12 +31,17 @@
 
 PROMOTION_LOCK = "promotion_lock"
 ROSTERS = "rosters"
-# Views that cost time at most when they are old: a revocation that goes unnoticed delays a change
-# of primary by a second, and rosters are read anew before one.
+# How long a watch of lock and rosters waits, seconds. Chosen: these cost time at most when they are
+# old: a revocation that goes unnoticed delays a change of primary by a second, and rosters are read
+# anew before one.
 _COORDINATION_WATCH_SECONDS = 8.0
-# Many proxies or instances change at the same time: one answer then tells of several.
+# How long further changes are waited for after one, seconds: many proxies or instances change at
+# the same time, and one answer then tells of several. Chosen: proxies of a site start within 0.3 s
+# of one another, and a new one gets work some seconds later in any case.
 GATHER_MEMBERS_SECONDS = 0.6
+# Chosen: an instance that leaves gets work for so much longer, far below the directory's bound.
 _GATHER_DIRECTORY_SECONDS = 0.15
+# Chosen: as rosters are read anew before a change of primary, nobody waits for them.
 _GATHER_ROSTERS_SECONDS = 0.5
 
 Spawn = Callable[[Callable[[], Awaitable[None]]], None]
--- /dev/null
+++ b/src/orchidwind/promoted/views/held_view.py
@@ -0,0 +1,104 @@
+"""What a proxy holds of one followed collection: as of which revision, and how old that is.
+
+For: `collection_watch`, which brings listings and changes from the store and from other proxies.
+Owns revision and age, and that nothing goes back to an earlier revision. Relies on
+`promoted.core.freshness` for the age, and on the follower for the items themselves.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+from typing import Generic, Protocol, TypeVar
+
+from orchidwind.promoted.core.freshness import FollowRule, FollowTimes
+from orchidwind.promoted.ports import Changes, Listing
+from orchidwind.shared.logs import log_event
+
+Item = TypeVar("Item")
+Taken = TypeVar("Taken", contravariant=True)
+
+
+class CollectionFollower(Protocol[Taken]):
+    """Takes what a watch brings."""
+
+    def listed(self, listing: Listing[Taken]) -> bool:
+        """All items as of a revision; what is missing is gone.
+
+        Whether they differ from what was held, so that others have to be told.
+        """
+
+    def changed(self, changes: Changes[Taken]) -> None:
+        """Later changes."""
+
+
+class HeldView(Generic[Item]):
+    """One view; `rule` has its age."""
+
+    def __init__(self, name: str, follower: CollectionFollower[Item], times: FollowTimes) -> None:
+        self.name = name
+        self._follower = follower
+        self._bound = times.bound
+        # The view is whole as of this revision; it was last different before `changed_revision`.
+        self.revision = -1
+        self.changed_revision = -1
+        self._logged_too_old = False
+        self._loop = asyncio.get_running_loop()
+        self.rule = FollowRule(times, self._loop.time())
+
+    @property
+    def known(self) -> bool:
+        """Whether any content was taken since the start."""
+        return self.revision >= 0
+
+    @property
+    def age(self) -> float:
+        """Seconds since the view was last known to be current, or since the start."""
+        return self.rule.age(self._loop.time())
+
+    def take_listing(self, listing: Listing[Item], as_of: float) -> None:
+        """All items, current at a time. One overtaken by a later one only confirms the view."""
+        if listing.revision >= self.revision:
+            if self._follower.listed(listing) or not self.known:
+                self.changed_revision = listing.revision
+            self.revision = listing.revision
+        self.confirm(as_of)
+
+    def take_changes(self, changes: Changes[Item], as_of: float) -> None:
+        """Later changes, or none, current at a time."""
+        if changes.revision >= self.revision:
+            self.revision = changes.revision
+            if changes.changed or changes.gone:
+                self.changed_revision = changes.revision
+            self._follower.changed(changes)
+        self.confirm(as_of)
+
+    def confirm(self, as_of: float) -> None:
+        """What is held was current at a time."""
+        self.rule.confirmed(as_of)
+        if self._logged_too_old and not self.rule.too_old(self._loop.time()):
+            self._logged_too_old = False
+            self.log("view_current_again")
+
+    def log_if_too_old(self) -> None:
+        """One line when the view grows older than is promised."""
+        if self._logged_too_old or not self.rule.too_old(self._loop.time()):
+            return
+        self._logged_too_old = True
+        self.log(
+            "view_too_old",
+            logging.WARNING,
+            bound=self._bound,
+            decision="serve on, as nobody reached knows better",
+        )
+
+    def log(self, event: str, level: int = logging.INFO, **fields: object) -> None:
+        """Log an event with what this view is and how old."""
+        log_event(
+            event,
+            level=level,
+            collection=self.name,
+            held_revision=self.revision,
+            age=round(self.age, 3),
+            **fields,
+        )
--- /dev/null
+++ b/src/orchidwind/promoted/views/second_path.py
@@ -0,0 +1,40 @@
+"""How a proxy asks others for a view that it follows, beside the store.
+
+For: `collection_watch`, which asks; `peer_views` answers by links to the others. A port, no code.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from typing import Generic, Protocol, TypeVar
+
+from orchidwind.promoted.ports import Listing
+
+Item = TypeVar("Item")
+
+
+@dataclass(frozen=True, slots=True)
+class ReportedView(Generic[Item]):
+    """What another proxy reported of its view, which was current at `as_of` of this one's clock.
+
+    `listing` is None where the asking proxy's own view holds the same, or with `omitted`, where the
+    other's is later and too long to be sent unasked.
+    """
+
+    peer: str
+    as_of: float
+    listing: Listing[Item] | None
+    omitted: bool = False
+
+
+class SecondPath(Protocol[Item]):
+    """Other proxies that follow the same collection."""
+
+    def relied_upon(self) -> bool:
+        """Whether others ask this proxy, so that it must not rely on them in its turn."""
+
+    async def ask(self, revision: int, whole: bool) -> ReportedView[Item] | None:
+        """Ask for what is later than a revision; None where nobody knows.
+
+        With `whole` a long content is wanted, too.
+        """
--- /dev/null
+++ b/src/orchidwind/promoted/views/view_reporter.py
@@ -0,0 +1,105 @@
+"""Answers other proxies that ask what this one holds of a view.
+
+For: `peers.served_link`, by way of `HomePorts`. Owns the bound above which a content is sent only
+to a proxy that the store does not serve. Relies on the watches for revision and age.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Iterable
+from dataclasses import dataclass
+from typing import Any, Protocol
+
+import msgspec
+
+from orchidwind.promoted.core.configuration import DirectoryEntry, PromotedConfiguration
+from orchidwind.promoted.core.homes import ProxyMember
+from orchidwind.promoted.core.peer_messages import (
+    DirectoryView,
+    MembersView,
+    ViewQuery,
+    ViewReport,
+)
+from orchidwind.promoted.metrics import ProxyMetrics
+from orchidwind.promoted.views.collection_watch import CollectionWatch
+from orchidwind.promoted.views.peer_views import CONFIGURATION, DIRECTORY, MEMBERS
+from orchidwind.promoted.views.view_forms import configuration_view
+
+# A view with more items is not sent unasked: the others read it at the store, which has the
+# bandwidth. Chosen: so many items have about 10 KB, which to 30 proxies at once take 0.25 s of a
+# link of 10 Mbit/s; small sites stay below it (docs/DECISIONS.md).
+MOST_REPORTED_ITEMS = 200
+
+
+class HeldViews(Protocol):
+    """What a proxy holds of the views that it reports to others."""
+
+    configuration: PromotedConfiguration | None
+    directory: dict[str, DirectoryEntry]
+    metrics: ProxyMetrics
+
+    @property
+    def members(self) -> Iterable[ProxyMember]:
+        """All proxies that are known."""
+
+    def watch(self, view: str) -> CollectionWatch[Any] | None:
+        """The watch of a view, None where the proxy does not follow it."""
+
+
+@dataclass(frozen=True, slots=True)
+class _Content:
+    """How one view is reported: how many items it holds, and a report that holds them."""
+
+    items: Callable[[], int]
+    fill: Callable[[ViewReport], ViewReport]
+
+
+class ViewReporter:
+    """Reports to other proxies what this one knows."""
+
+    def __init__(self, held: HeldViews) -> None:
+        self._held = held
+        self._contents = {
+            CONFIGURATION: _Content(self._databases, self._with_configuration),
+            DIRECTORY: _Content(lambda: len(held.directory), self._with_directory),
+            MEMBERS: _Content(lambda: len(tuple(held.members)), self._with_members),
+        }
+
+    def report(self, query: ViewQuery) -> ViewReport:
+        """Answer a query."""
+        watch = self._held.watch(query.view)
+        content = self._contents.get(query.view)
+        if watch is None or watch.revision < 0 or content is None:
+            return ViewReport(query.number, known=False, age=0.0, revision=-1)
+        report = ViewReport(query.number, known=True, age=watch.age, revision=watch.revision)
+        if watch.changed_revision <= query.revision:
+            self._held.metrics.view_reported(query.view, "confirmed", 0)
+            return report
+        if not query.whole and content.items() > MOST_REPORTED_ITEMS:
+            self._held.metrics.view_reported(query.view, "omitted", 0)
+            return omitted(report)
+        self._held.metrics.view_reported(query.view, "content", content.items())
+        return content.fill(report)
+
+    def _databases(self) -> int:
+        configuration = self._held.configuration
+        return 0 if configuration is None else len(configuration.databases)
+
+    def _with_configuration(self, report: ViewReport) -> ViewReport:
+        configuration = self._held.configuration
+        view = None if configuration is None else configuration_view(configuration)
+        return msgspec.structs.replace(report, configuration=view)
+
+    def _with_directory(self, report: ViewReport) -> ViewReport:
+        view = DirectoryView(tuple(self._held.directory.values()))
+        return msgspec.structs.replace(report, directory=view)
+
+    def _with_members(self, report: ViewReport) -> ViewReport:
+        return msgspec.structs.replace(report, members=MembersView(tuple(self._held.members)))
+
+
+def omitted(report: ViewReport) -> ViewReport:
+    """The same report without content; it tells that there is one."""
+    return msgspec.structs.replace(
+        report, omitted=True, configuration=None, directory=None, members=None
+    )
--- a/tests/promoted/test_swallowed_calls.py
+++ b/tests/promoted/test_swallowed_calls.py
@@ -16,13 +16,13 @@
 from orchidwind.platform.store import ObjectStore, WatchedKind
 from orchidwind.promoted.core.call_limits import STORE_CALL_SECONDS
 from orchidwind.promoted.core.failover_steps import PromotionAnswer
-from orchidwind.promoted.core.freshness import FollowTimes
+from orchidwind.promoted.core.freshness import MOST_CALLS, FollowTimes
 from orchidwind.promoted.core.homes import ProxyMember
 from orchidwind.promoted.core.promotion_lock import LockRecord
 from orchidwind.promoted.core.roster import Roster
 from orchidwind.promoted.ports import LeaseConfirmation
 from orchidwind.promoted.views.followed_views import ProxyBounds
-from orchidwind.promoted.views.hedged_call import MOST_CALLS, Arrival, hedged
+from orchidwind.promoted.views.hedged_call import Arrival, hedged
 from orchidwind.shared.core.errors import PlatformError
 from orchidwind_standins.promoted import object_store
 
--- a/tests/promoted/test_view_parts.py
+++ b/tests/promoted/test_view_parts.py
@@ -6,11 +6,12 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from orchidwind.promoted.core.freshness import FollowTimes, ViewAge
+from orchidwind.promoted.core.freshness import MOST_CALLS, FollowTimes, ViewAge
 from orchidwind.promoted.core.homes import ProxyMember, zone_readers
 from orchidwind.promoted.ports import Changes, Listing
-from orchidwind.promoted.views.collection_watch import CollectionWatch, ReportedView
-from orchidwind.promoted.views.hedged_call import MOST_CALLS, Arrival, hedged
+from orchidwind.promoted.views.collection_watch import CollectionWatch
+from orchidwind.promoted.views.hedged_call import Arrival, hedged
+from orchidwind.promoted.views.second_path import ReportedView
 from orchidwind.shared.core.errors import PlatformError
 from orchidwind_bench.promoted.simulation.virtual_time import run_virtual
 
