--- a/src/orchidwind/promoted/proxy_runtime.py
+++ b/src/orchidwind/promoted/proxy_runtime.py
@@ -16,23 +16,21 @@
     PromotedConfiguration,
 )
 from orchidwind.promoted.core.homes import ProxyMember
-from orchidwind.promoted.group.group_service import GroupService
-from orchidwind.promoted.group.group_supervision import GroupSupervision
+from orchidwind.promoted.group.group_service import GroupEnvironment, GroupService
+from orchidwind.promoted.group.group_supervision import GroupSupervision, SupervisionServices
 from orchidwind.promoted.group.lease_keeper import LeaseKeeper
 from orchidwind.promoted.group.operator_status import OperatorStatus, group_status
 from orchidwind.promoted.group.promotion_lock_client import PromotionLockClient
 from orchidwind.promoted.group.roster_keeper import RosterKeeper
 from orchidwind.promoted.metrics import ProxyMetrics
-from orchidwind.promoted.peers.peer_network import PeerNetwork
-from orchidwind.promoted.peers.peer_service import HomePorts, PeerService
+from orchidwind.promoted.peers.home_ports import HomePorts
+from orchidwind.promoted.peers.peer_network import GroupFacts, PeerNetwork
+from orchidwind.promoted.peers.peer_service import PeerService
 from orchidwind.promoted.ports import ProxyPorts
 from orchidwind.promoted.views.collection_watch import CollectionWatch
 from orchidwind.promoted.views.followed_views import GATHER_MEMBERS_SECONDS, ProxyBounds, ProxyViews
-from orchidwind.promoted.views.peer_views import (
-    ConfigurationFollower,
-    DirectoryFollower,
-    ViewReporter,
-)
+from orchidwind.promoted.views.view_followers import ConfigurationFollower, DirectoryFollower
+from orchidwind.promoted.views.view_reporter import ViewReporter
 from orchidwind.shared.core.errors import ErrorKind
 from orchidwind.shared.logs import log_event
 
@@ -69,9 +67,7 @@
             own,
             ports.peers,
             ports.member_store,
-            self._connection_limit,
-            lambda: len(self.groups),
-            self._starved,
+            GroupFacts(self._connection_limit, lambda: len(self.groups), self._starved),
             self._homes_changed,
             self.metrics.silent,
         )
@@ -102,8 +98,8 @@
         self._spawn(self._log_figures)
 
     async def _follow_members(self) -> None:
-        is_new = await self.homes.write_own()
-        self._spawn(self.homes.keep_own)
+        is_new = await self.homes.own_entry.write()
+        self._spawn(self.homes.own_entry.keep)
         if is_new:
             # Where this proxy was never listed, others may start at the same moment: read them all.
             await asyncio.sleep(GATHER_MEMBERS_SECONDS)
@@ -227,32 +223,29 @@
         assert self.configuration is not None
         wake = asyncio.Event()
         settings = self.configuration.groups[name]
-        group = GroupService(
-            settings,
-            self.zone,
-            self._ports.connector,
-            wake.set,
-            self.metrics,
-            self.leases,
-            self._bounds.entry_outlives,
-            self._coordinate,
+        environment = GroupEnvironment(
+            zone=self.zone,
+            connector=self._ports.connector,
+            metrics=self.metrics,
+            leases=self.leases,
+            entry_outlives=self._bounds.entry_outlives,
+            on_used=self._coordinate,
         )
+        group = GroupService(settings, environment, wake.set)
         self.groups[name] = group
         for entry in self.directory.values():
             if entry.group == name:
-                group.entry_changed(entry)
+                group.view_changes.entry_changed(entry)
         self.rosters.apply(name)
-        supervision = GroupSupervision(
-            group,
-            wake,
-            self._lock,
-            self._ports.promotions,
-            self.leases,
-            self.rosters,
-            self.views.refresh_before_failover,
-            self.metrics,
+        services = SupervisionServices(
+            lock=self._lock,
+            promotions=self._ports.promotions,
+            leases=self.leases,
+            rosters=self.rosters,
+            refresh_views=self.views.refresh_before_failover,
+            metrics=self.metrics,
         )
-        self._spawn(supervision.run)
+        self._spawn(GroupSupervision(group, wake, services).run)
 
     def _connection_limit(self, group: str) -> int:
         """How many connections an instance of a group takes, over all proxies."""
@@ -295,14 +288,14 @@
         self.directory[entry.instance] = entry
         group = self.groups.get(entry.group)
         if group is not None:
-            group.entry_changed(entry)
+            group.view_changes.entry_changed(entry)
 
     def instance_gone(self, instance: str, removal_unseen: bool = False) -> None:
         """An instance is no longer listed; `removal_unseen`: it may come back."""
         entry = self.directory.pop(instance, None)
         group = self.groups.get(entry.group) if entry is not None else None
         if group is not None:
-            group.entry_gone(instance, removal_unseen)
+            group.view_changes.entry_gone(instance, removal_unseen)
 
     def _note_prepared(self) -> None:
         if self.configuration is None or not self.homes.known:
