--- a/src/orchidwind/promoted/core/answers.py
+++ b/src/orchidwind/promoted/core/answers.py
@@ -1,4 +1,9 @@
-"""What a caller is told of an attempt that failed on a promoted group."""
+"""What a caller is answered when its command failed on a promoted group. No I/O.
+
+What for: the answer must say what surely happened: a statement that did not run, a transaction that
+is rolled back, an outcome that is not known. docs/STATEMENTS.md has the table of all cases.
+Owns: nothing. Relies on: `attempts`, which first tries again what did not run.
+"""
 
 from __future__ import annotations
 
@@ -22,7 +27,7 @@
 
 
 def reported_in_transaction(reply: Reply) -> RequestError:
-    """Within a transaction an error rolls all of it back; that is what the caller is told."""
+    """Within a transaction an error rolls all of it back; that is what the caller is answered."""
     if reply.code in (ReplyCode.FAILED, ReplyCode.TIMED_OUT, ReplyCode.REFUSED):
         return reported(reply)
     return transaction_lost()
--- a/src/orchidwind/promoted/core/commands.py
+++ b/src/orchidwind/promoted/core/commands.py
@@ -1,4 +1,8 @@
-"""What callers ask of a promoted group, and what an instance replies. No I/O."""
+"""What callers ask of a promoted group, and what an instance replies. No I/O.
+
+What for: the types that flows, drivers and adapters share. The adapters translate the words of the
+wire into them and back. Owns: nothing. Relies on: nothing but log positions.
+"""
 
 from __future__ import annotations
 
@@ -84,7 +88,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """An instance's whole answer to one message. `position` is None where it told none."""
+    """An instance's whole answer to one message. `position`: the end of its log, None where
+    the answer has none."""
 
     code: ReplyCode
     rows: tuple[str, ...] = ()
@@ -160,7 +165,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CommandResult:
-    """What the caller is told of one command that succeeded."""
+    """The answer to one command that succeeded."""
 
     rows: tuple[str, ...] = ()
     signature: str = ""
--- a/src/orchidwind/promoted/core/configuration.py
+++ b/src/orchidwind/promoted/core/configuration.py
@@ -1,4 +1,8 @@
-"""The configuration of promoted groups: databases as callers name them, and their groups."""
+"""The configuration of promoted groups: databases as callers name them, and their groups. No I/O.
+
+What for: the types of one version of the configuration, and of a directory entry, as the adapter
+decodes them. Owns: nothing. Relies on: nothing.
+"""
 
 from __future__ import annotations
 
@@ -6,6 +10,8 @@
 from dataclasses import dataclass, field
 from enum import Enum, unique
 
+# Seconds for which an open transaction may rest, where the configuration names no other time.
+# Chosen: it holds a server connection meanwhile.
 DEFAULT_TRANSACTION_IDLE_SECONDS = 30.0
 
 
--- a/src/orchidwind/promoted/core/confirming_instances.py
+++ b/src/orchidwind/promoted/core/confirming_instances.py
@@ -13,7 +13,7 @@
 - `MAY_CONFIRM_SECONDS` after its entry went, if the primary's log of that time is held by enough
   others, or the present term began later.
 
-Owns: the names that only the roster told, and those that were dropped. Relies on: the instances'
+Owns: the names that only the roster has, and those that were dropped. Relies on: the instances'
 views as `topology` keeps them. Times are in seconds of the steady clock.
 """
 
--- a/src/orchidwind/promoted/core/failover.py
+++ b/src/orchidwind/promoted/core/failover.py
@@ -185,7 +185,8 @@
 class _Selection:
     """The search for the next primary, from one attempt to the next.
 
-    `sent` tells that a promotion may have been called: fences below the new term stay then.
+    `reported`: the last line of the log on what the choice rests. `sent`: a promotion may have been
+    called, so fences below the new term stay.
     """
 
     plan: FailoverPlan
--- a/src/orchidwind/promoted/core/failover_steps.py
+++ b/src/orchidwind/promoted/core/failover_steps.py
@@ -1,4 +1,8 @@
-"""What a change of primary begins with, the steps that it takes, and what comes back. No I/O."""
+"""What a change of primary begins with, the steps that it takes, and what comes back. No I/O.
+
+What for: the flow in `failover` yields these steps; a driver, the product's or the explorer's,
+carries them out. Owns and relies on: nothing.
+"""
 
 from __future__ import annotations
 
@@ -53,7 +57,7 @@
 
     `members` are all instances that may have confirmed commits; `leaving` those of them that must
     not lead; `old_primary` is empty where none is known. Without `members_known` there may be
-    others, of which this proxy has not been told: then only a demoted primary's log is a measure.
+    others that this proxy has not heard of: then only a demoted primary's log is a measure.
     `led_term` is the newest term in which an instance is known to have led. `absent` are instances
     of which neither the directory nor this proxy has heard since that term began: they are members
     if they answer; else it depends on `acknowledged`, what all proxies have acknowledged, whether
@@ -102,8 +106,8 @@
 class ChoiceReport:
     """On what a choice of the next primary rested, for the log.
 
-    `passed_over` tells for each instance that was not chosen why it was not. `chosen` is empty
-    where no instance is known to have every acknowledged commit.
+    `passed_over`: each instance that was not chosen, and why. `chosen` is empty where no instance
+    is known to have every acknowledged commit.
     """
 
     members: tuple[str, ...]
@@ -160,7 +164,7 @@
 class AwaitRevocation:
     """Wait until no proxy relies on the old primary by a lead lease, to read or to acknowledge.
 
-    The result is AcknowledgedCommits, None where some proxy did not say what it has told.
+    The result is AcknowledgedCommits, None where some proxy did not say what it acknowledged.
     """
 
 
@@ -178,7 +182,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordPromotion:
-    """Write down that an instance is about to be promoted; whether it stands in the store.
+    """Write down that an instance is about to be promoted; whether it surely is in the store.
 
     `term` is the least term that it will lead, `start` the end of its log.
     """
--- a/src/orchidwind/promoted/core/flows.py
+++ b/src/orchidwind/promoted/core/flows.py
@@ -1,7 +1,7 @@
 """The order of steps of each command on a promoted group, as generators without I/O.
 
 A flow yields a step and is sent its result, or has an error thrown in. What a flow has in its
-hands when an error reaches it decides what the caller may be told (`docs/STATEMENTS.md`):
+hands when an error reaches it decides what the caller may be answered (`docs/STATEMENTS.md`):
 
 - before the first byte left for an instance, nothing ran;
 - a write or COMMIT leaves once; after that, without an answer, its outcome is unknown;
--- a/src/orchidwind/promoted/core/group_state.py
+++ b/src/orchidwind/promoted/core/group_state.py
@@ -1,4 +1,10 @@
-"""A promoted group at one proxy: the topology, and what its server connections carry. No I/O."""
+"""A promoted group at one proxy: the topology, and what its server connections carry. No I/O.
+
+What for: the flows ask which settings and prepared statements a connection lacks, and report what
+they learn of instances and of the lead. Owns: the settings and prepared names of each server
+connection, and the group's topology. Relies on: a driver that reports each connection that opens
+and closes.
+"""
 
 from __future__ import annotations
 
@@ -22,7 +28,7 @@
 class GroupState:
     """What the flows of a group share.
 
-    `now` tells the steady clock, in seconds; `on_change` is called when requests that wait, or the
+    `now` reads the steady clock, in seconds; `on_change` is called when requests that wait, or the
     supervisor of the group, have something new to look at.
     """
 
@@ -109,5 +115,5 @@
         self.topology.floors.prove(sent_at, position)
 
     def lead_proven(self, led_at: float, position: Position | None) -> None:
-        """The primary told its position after a time at which no later term had begun."""
+        """The primary's answer had a position, and no later term had begun at a time before it."""
         self.topology.floors.prove(led_at, position)
--- a/src/orchidwind/promoted/core/peer_loss.py
+++ b/src/orchidwind/promoted/core/peer_loss.py
@@ -1,4 +1,8 @@
-"""What becomes of a command whose home proxy went away under it. No I/O."""
+"""What becomes of a command whose home proxy went away under it. No I/O.
+
+What for: a proxy that forwards commands must know which may be sent to another home. Owns: nothing.
+Relies on: an instance that rolls a transaction back when the home's connection to it ends.
+"""
 
 from __future__ import annotations
 
@@ -11,9 +15,9 @@
 def after_lost_home(
     session: Session, command: Command, opened: bool, sent: bool
 ) -> RequestError | None:
-    """What the caller is told; None where the command may be sent to another home.
+    """What the caller is answered; None where the command may be sent to another home.
 
-    `opened` tells that the transaction was open at that home, `sent` that this command had left.
+    `opened`: the transaction was open at that home; `sent`: this command had left.
     The instance rolls a transaction back when its home is gone, so without a COMMIT on its way
     nothing of it is kept. A single write that left is not sent again.
     """
--- a/src/orchidwind/promoted/core/promotion_lock.py
+++ b/src/orchidwind/promoted/core/promotion_lock.py
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LockRecord:
-    """The lock as the store holds it. `attempt` tells the calls of one holder apart."""
+    """The lock as the store holds it. `attempt` is another for each call of one holder."""
 
     holder: str
     attempt: str
@@ -84,7 +84,7 @@
     ) -> LockDecision:
         """What to do about a record that was just read.
 
-        `promotion_called` tells that a promotion may have been called under this very hold.
+        `promotion_called`: a promotion may have been called under this very hold.
         """
         if record is None:
             return LockDecision.CREATE
--- a/src/orchidwind/promoted/core/roster.py
+++ b/src/orchidwind/promoted/core/roster.py
@@ -1,4 +1,9 @@
-"""The roster of a group: who may hold acknowledged commits, and who was promoted last. No I/O."""
+"""The roster of a group: who may hold acknowledged commits, and who was promoted last. No I/O.
+
+What for: a proxy that starts cannot have seen who left before, or a promotion that takes effect
+late; it reads both here. Owns: nothing; the store holds the roster, `roster_keeper` writes it.
+Relies on: nothing but log positions.
+"""
 
 from __future__ import annotations
 
--- a/src/orchidwind/promoted/core/session.py
+++ b/src/orchidwind/promoted/core/session.py
@@ -1,4 +1,9 @@
-"""One caller's session on a promoted group: settings, prepared statements, transaction. No I/O."""
+"""One caller's session on a promoted group: settings, prepared statements, transaction. No I/O.
+
+What for: a session keeps its promises on whatever connection its statements run; this is what each
+connection is brought to. Owns: the session's state, with the floor of its own writes. Relies on:
+flows that report what ran; errors are RequestError.
+"""
 
 from __future__ import annotations
 
@@ -14,6 +19,8 @@
 from orchidwind.shared.core.errors import ErrorKind, RequestError
 from orchidwind.shared.core.positions import Position
 
+# Settings and prepared statements of one session at most. Chosen: bounds what a caller makes a
+# proxy hold, and what a connection may have to be brought to before a statement.
 MAXIMUM_SETTINGS = 256
 MAXIMUM_PREPARED = 1024
 
@@ -46,7 +53,7 @@
 
     @property
     def state(self) -> TransactionState:
-        """The state that the caller is told."""
+        """The state that each answer to the caller names."""
         if self.failed:
             return TransactionState.FAILED
         return TransactionState.IDLE if self.transaction is None else TransactionState.OPEN
--- a/src/orchidwind/promoted/core/steps.py
+++ b/src/orchidwind/promoted/core/steps.py
@@ -1,4 +1,8 @@
-"""The steps that a flow on a promoted group asks its driver for."""
+"""The steps that a flow on a promoted group asks its driver for. No I/O.
+
+What for: flows stay free of I/O and clocks; a driver carries out each step, sends its result into
+the flow, or throws RequestError or BackendConnectionLost in. Owns and relies on: nothing.
+"""
 
 from __future__ import annotations
 
@@ -15,8 +19,8 @@
 class WaitForPrimary:
     """Wait for a primary; the result is a PrimaryView.
 
-    `lead_proof` tells that its lead must be proven, `commit` that it must confirm commits: where
-    that is known to fail, there is nothing to wait for.
+    `lead_proof`: its lead must be proven; `commit`: it must confirm commits. Where that is known to
+    fail, there is nothing to wait for.
     """
 
     lead_proof: bool = False
--- a/src/orchidwind/promoted/core/transaction_flows.py
+++ b/src/orchidwind/promoted/core/transaction_flows.py
@@ -211,7 +211,7 @@
 
 
 def rollback_flow(context: CommandContext) -> Flow:
-    """ROLLBACK: answered here; the instance is told where the transaction had begun there."""
+    """ROLLBACK: answered here; passed on where the transaction had begun on an instance."""
     transaction = context.session.transaction
     context.session.end_transaction()
     if transaction is not None and transaction.connection:
--- a/src/orchidwind/promoted/group/lease_keeper.py
+++ b/src/orchidwind/promoted/group/lease_keeper.py
@@ -61,7 +61,7 @@
         readers: Callable[[], LockReaders] = LockReaders,
         on_lock_seen: Callable[[LockRecord], None] = lambda record: None,
     ) -> None:
-        """`readers` tells which proxies read the lock for others."""
+        """`readers` returns the proxies that read the lock for others."""
         self._on_lock_seen = on_lock_seen
         self._readings = LockReadings(lock_store, readers)
         self._released = asyncio.Event()
--- a/src/orchidwind/promoted/group/lock_readings.py
+++ b/src/orchidwind/promoted/group/lock_readings.py
@@ -29,7 +29,7 @@
     """Reads the lock for this proxy, and for others that ask it."""
 
     def __init__(self, lock_store: PromotionLockStore, readers: Callable[[], LockReaders]) -> None:
-        """`readers` tells which proxies read the lock for others."""
+        """`readers` returns the proxies that read the lock for others."""
         self._lock_store = lock_store
         self._readers = readers
         self._last: LockReading | None = None
--- a/src/orchidwind/promoted/group/promotion_lock_client.py
+++ b/src/orchidwind/promoted/group/promotion_lock_client.py
@@ -40,7 +40,7 @@
     """Takes and gives back the promotion lock; one change of primary at a time uses it."""
 
     def __init__(self, node: str, store: PromotionLockStore, rosters: RosterKeeper) -> None:
-        """`rosters` tell which promotions were called under which tokens."""
+        """`rosters` name the promotions that were called, with their tokens."""
         self._node = node
         self._store = store
         self._rosters = rosters
@@ -99,7 +99,7 @@
         return held_lock(sent_at, written, attempt)
 
     async def _read_back(self, sent_at: float, attempt: str) -> HeldLock | None:
-        """The answer was lost: the record itself tells whether the call was carried out."""
+        """The answer was lost: the record itself shows whether the call was carried out."""
         for _ in range(_READ_BACKS):
             try:
                 record = await self._store.read()
--- a/src/orchidwind/promoted/group/roster_keeper.py
+++ b/src/orchidwind/promoted/group/roster_keeper.py
@@ -2,7 +2,10 @@
 
 A proxy that starts cannot have seen who left before; after the loss of all proxies none can. So
 each instance that is listed is written to its group's roster, and taken off only when a proxy has
-seen it gone for as long as it may matter.
+seen it gone for as long as it may matter (`core/confirming_instances.py`).
+
+Owns: the newest roster of each group that this proxy has seen. Relies on: a watch that calls
+`listed` and `changed`, and a store that writes by compare-and-put.
 """
 
 from __future__ import annotations
@@ -18,8 +21,11 @@
 from orchidwind.shared.core.errors import PlatformError, PlatformUncertain
 from orchidwind.shared.logs import log_event
 
-_LOOK_SECONDS = 0.5
-# Proxies see the same change at the same time: the first to write spares the others.
+# Seconds between two checks of what is to be written. Chosen: an instance that is listed, confirms
+# and leaves in less, while all proxies lose power, is missed (docs/DECISIONS.md).
+_CHECK_INTERVAL_SECONDS = 0.5
+# A writer waits for a random part of this, in seconds. Chosen: proxies see the same change at the
+# same time, and the first to write spares the others.
 _JITTER_SECONDS = 0.4
 
 
@@ -70,7 +76,7 @@
         return max((record.token for record in records if record is not None), default=0)
 
     async def record_promotion(self, group: str, record: PromotionRecord) -> bool:
-        """Write down a promotion before it is called; whether it surely stands in the store."""
+        """Write down a promotion before it is called; whether it surely is in the store."""
         wanted = replace(self._held(group), last_promotion=record)
         try:
             self._take(await self._store.write(wanted, create=wanted.revision == 0))
@@ -91,7 +97,7 @@
     async def run(self) -> None:
         """Write what differs."""
         while True:
-            await asyncio.sleep(_LOOK_SECONDS)
+            await asyncio.sleep(_CHECK_INTERVAL_SECONDS)
             if not self.known or not any(self._wanted(name) for name in self._groups):
                 continue
             await asyncio.sleep(random.random() * _JITTER_SECONDS)
--- a/src/orchidwind/promoted/group/shared_query.py
+++ b/src/orchidwind/promoted/group/shared_query.py
@@ -1,4 +1,9 @@
-"""A query that serves all requests which came before it was sent."""
+"""A query that serves all requests which came before it was sent.
+
+What for: a proof must have begun after the request that it serves; with this, any number of
+requests cost two queries at most at a time. Owns: the query under way and the next one. Relies on:
+a `send` that ends in bounded time.
+"""
 
 from __future__ import annotations
 
