--- a/src/orchidwind/elected/core/flows.py
+++ b/src/orchidwind/elected/core/flows.py
@@ -14,17 +14,22 @@
 from collections.abc import Generator
 
 from orchidwind.elected.core.flow_parts import (
-    Lost,
     connect,
     connect_primary,
+    may_retry,
     refused_by_replica,
     run,
-    transaction_lost,
-    write_lost,
 )
 from orchidwind.elected.core.group_view import PrimaryReference
 from orchidwind.elected.core.ledger import claim_statement
 from orchidwind.elected.core.named_write import named_write_flow
+from orchidwind.elected.core.request_errors import (
+    read_interrupted,
+    transaction_lost,
+    write_lost,
+    write_not_confirmed,
+)
+from orchidwind.elected.core.retries import StatementLost, retry_read, retry_write
 from orchidwind.elected.core.routing import Route
 from orchidwind.elected.core.statements import (
     TRANSACTION_IDLE,
@@ -43,7 +48,6 @@
     Step,
     StepResult,
     Suspect,
-    TakeRetry,
     WaitForConfirmation,
     WaitForFloor,
     WaitForReplay,
@@ -52,8 +56,6 @@
 from orchidwind.shared.core.errors import ErrorKind, RequestError
 from orchidwind.shared.core.positions import ORIGIN, Position
 
-_READ_ATTEMPTS = 3
-
 
 def _route(request: StatementRequest) -> Generator[Step, StepResult, Route]:
     """Find where a read may run: first the floor, then an instance that covers it."""
@@ -86,24 +88,18 @@
 def read_flow(request: StatementRequest) -> Flow:
     """A read outside a transaction."""
     describe = request.kind is RequestKind.DESCRIBE
-    attempt = 0
+    attempts = 0
     while True:
-        attempt += 1
         route = yield from _route(request)
         try:
             connection = yield from connect(request, route.instance)
             result = yield from run(
                 connection, request.statement, deliver=not describe, describe=describe
             )
-        except Lost as lost:
-            if lost.reason is not None:
-                raise lost.reason from lost
-            if not lost.sent:
-                attempt -= 1
-                continue
-            exhausted = lost.delivered or attempt >= _READ_ATTEMPTS
-            if exhausted or not (yield TakeRetry()):
-                raise _read_interrupted() from lost
+        except StatementLost as lost:
+            attempts += int(lost.sent)
+            if not (yield from may_retry(retry_read(lost, attempts))):
+                raise (lost.reason or read_interrupted()) from lost
             continue
         yield Release(connection, reusable=result.transaction_status == TRANSACTION_IDLE)
         if result.error is not None:
@@ -117,10 +113,6 @@
         )
 
 
-def _read_interrupted() -> RequestError:
-    return RequestError(ErrorKind.READ_INTERRUPTED, "the server connection was lost in a read")
-
-
 def token_flow(request: StatementRequest) -> Flow:
     """A position that covers all that the session wrote and read."""
     floor = yield from _fresh_floor(request.floor.position, request.floor.last_read_instance)
@@ -135,10 +127,10 @@
         primary, connection = yield from connect_primary(request)
         try:
             result = yield from run(connection, request.statement, deliver=True)
-        except Lost as lost:
-            if not lost.sent:
-                continue
-            raise write_lost() from lost
+        except StatementLost as lost:
+            if not (yield from may_retry(retry_write(lost))):
+                raise write_lost() from lost
+            continue
         if refused_by_replica(result) and result.transaction_status == TRANSACTION_IDLE:
             yield Release(connection, reusable=True)
             yield Suspect(primary.instance)
@@ -164,10 +156,7 @@
     try:
         position = yield WaitForConfirmation(primary.instance, primary.term)
     except RequestError as error:
-        raise RequestError(
-            ErrorKind.OUTCOME_UNKNOWN,
-            "the write was not confirmed by a majority in time; it may or may not last",
-        ) from error
+        raise write_not_confirmed() from error
     assert isinstance(position, Position)
     return Outcome(request.number, tag=tag, instance=primary.instance, position=position)
 
@@ -187,7 +176,7 @@
         result = yield from run(connection, request.statement, deliver=True)
         if request.request_id and not read_only and result.error is None:
             yield from _claim_in_transaction(request, connection)
-    except Lost as lost:
+    except StatementLost as lost:
         raise (lost.reason or transaction_lost()) from lost
     if result.error is not None or result.transaction_status == TRANSACTION_IDLE:
         yield Release(connection, reusable=False)
@@ -224,7 +213,7 @@
         result = yield from run(
             transaction.connection, request.statement, deliver=not describe, describe=describe
         )
-    except Lost as lost:
+    except StatementLost as lost:
         yield EndTransaction()
         if ends and transaction.wrote:
             raise write_lost() from lost
--- a/src/orchidwind/promoted/core/circuit_breaker.py
+++ b/src/orchidwind/promoted/core/circuit_breaker.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass
 from enum import Enum, unique
 
-from orchidwind.promoted.core.supervision import NOT_CONFIRMING_SECONDS
+from orchidwind.promoted.core.change_reasons import NOT_CONFIRMING_SECONDS
 from orchidwind.shared.core.errors import ErrorKind
 
 # Seconds between two requests that are let through while a breaker is open. Chosen: hardly a caller
