--- a/src/orchidwind/promoted/core/circuit_breaker.py
+++ b/src/orchidwind/promoted/core/circuit_breaker.py
@@ -33,7 +33,7 @@
 
 @unique
 class Dependency(Enum):
-    """What a request relies on; the values stand in log lines."""
+    """What a request relies on; the values appear in log lines."""
 
     INSTANCE = "instance found"
     LEAD_PROOF = "lead proven"
@@ -41,7 +41,7 @@
 
 
 # Seconds for which each may fail before requests that rely on it are refused. For commits it is the
-# time after which the primary is replaced (`supervision`).
+# time after which the primary is replaced (`change_reasons`).
 PATIENCE_SECONDS: dict[Dependency, float] = {
     Dependency.INSTANCE: NOT_FOUND_SECONDS,
     Dependency.LEAD_PROOF: NOT_PROVEN_SECONDS,
--- a/src/orchidwind/promoted/group/background_tasks.py
+++ b/src/orchidwind/promoted/group/background_tasks.py
@@ -10,7 +10,7 @@
 
 
 class BackgroundTasks:
-    """Keeps a reference to each task: the loop itself keeps none that lasts."""
+    """Holds a reference to each task: the loop itself has only weak ones."""
 
     def __init__(self) -> None:
         self._loop = asyncio.get_running_loop()
--- a/src/orchidwind/promoted/group/group_service.py
+++ b/src/orchidwind/promoted/group/group_service.py
@@ -163,7 +163,7 @@
         self._on_wake()
 
     def trim(self) -> None:
-        """Close connections that were not used lately; a home keeps one to each instance."""
+        """Close connections that were not used lately; a home retains one to each instance."""
         if self.supervised:
             self.connections.trim()
         else:
@@ -205,7 +205,7 @@
         if view.unreachable_since is None:
             log_event("instance_unreachable", group=self.settings.name, instance=instance)
         self.topology.unreachable(instance, self._loop.time())
-        self.status_calls.drop(instance)
+        self.status_calls.close_link(instance)
         self.connections.drop_idle(instance)
         self._silent.end_reads(instance)
         self.changed()
@@ -219,7 +219,10 @@
     async def wait_for_primary(
         self, deadline: float, lead_proof: bool, commit: bool
     ) -> PrimaryView:
-        """Wait for a primary; raises RequestError, at once where what it needs is known to fail."""
+        """Wait for a primary; raises RequestError, at once where it is known to be in vain.
+
+        `lead_proof` and `commit` tell whether the request relies on them.
+        """
         self._breakers.check_at_primary(lead_proof, self.oldest_write() if commit else None)
         return await self._waiting.wait_for(
             lambda: self.topology.primary(self._loop.time()), deadline, ErrorKind.NO_PRIMARY
--- a/src/orchidwind/promoted/group/group_supervision.py
+++ b/src/orchidwind/promoted/group/group_supervision.py
@@ -18,7 +18,7 @@
     FailoverPlan,
     FailoverReason,
 )
-from orchidwind.promoted.core.supervision import GroupSupervisor, SupervisionDecision
+from orchidwind.promoted.core.supervision import GroupSupervisor
 from orchidwind.promoted.group.failover_runner import FailoverRunner, PromotionLockClient
 from orchidwind.promoted.group.group_service import GroupService
 from orchidwind.promoted.group.lease_keeper import LeaseKeeper
@@ -70,12 +70,6 @@
             if self._running is not None:
                 self._running.cancel()
 
-    def _decide(self) -> float:
-        """Act on what is known now; after how many seconds to decide again at the latest."""
-        if not self._group.supervised:
-            return _UNSUPERVISED_CHECK_SECONDS
-        return self._look().again_after
-
     async def _wait(self, seconds: float) -> None:
         try:
             async with asyncio.timeout(seconds):
@@ -85,21 +79,27 @@
             pass
         self._wake.clear()
 
-    def _look(self) -> SupervisionDecision:
-        group = self._group
-        look = self._supervisor.decide(
+    def _decide(self) -> float:
+        """Act on what is known now; after how many seconds to decide again at the latest."""
+        if not self._group.supervised:
+            return _UNSUPERVISED_CHECK_SECONDS
+        decision = self._supervisor.decide(
             self._loop.time(),
-            group.suspects(),
-            group.oldest_write(),
+            self._group.suspects(),
+            self._group.oldest_write(),
             random.random(),
             self._services.rosters.known,
         )
-        for instance in look.ask:
-            group.ask_soon(instance)
-        may_start = self._running is None or self._running.done()
-        if look.plan is not None and may_start and not self._services.leases.held_by_another():
-            self._running = self._loop.create_task(self._change_primary(look.plan))
-        return look
+        for instance in decision.ask:
+            self._group.ask_soon(instance)
+        if decision.plan is not None and self._may_start():
+            self._running = self._loop.create_task(self._change_primary(decision.plan))
+        return decision.again_after
+
+    def _may_start(self) -> bool:
+        """Whether neither this proxy nor another one is changing a primary."""
+        runs = self._running is not None and not self._running.done()
+        return not runs and not self._services.leases.held_by_another()
 
     async def _read_members(self, reason: FailoverReason) -> FailoverPlan | None:
         """Plan from views that are read anew; None where the store does not answer."""
--- a/src/orchidwind/promoted/group/silent_connections.py
+++ b/src/orchidwind/promoted/group/silent_connections.py
@@ -85,7 +85,7 @@
             self._connections.records.links[connection].close()
 
     async def _close_silent_idle(self, instance: str, since: float) -> int:
-        """Close idle connections that say nothing while a new one answers; how many.
+        """Close idle connections that stay silent while a new one answers; how many.
 
         Only those that have delivered nothing since a time are asked.
         """
@@ -113,7 +113,7 @@
         return len(silent)
 
     async def close_silent_resting(self, instance: str, since: float) -> int:
-        """Close held connections that rest and say nothing while a new one answers; how many.
+        """Close held connections that rest and stay silent while a new one answers; how many.
 
         Only those that have delivered nothing since a time are asked.
         """
--- a/src/orchidwind/promoted/group/status_calls.py
+++ b/src/orchidwind/promoted/group/status_calls.py
@@ -1,6 +1,6 @@
 """Status and control calls to the instances of one promoted group.
 
-Owns: one connection an instance that is kept for such calls, beside the pooled ones, and the time
+Owns: one connection an instance that serves such calls alone, beside the pooled ones, and the time
 limits of the calls (`core/instance_silence` has the figures). Relies on the pools for idle
 connections. An instance that does not answer is reported as unreachable.
 """
@@ -36,7 +36,7 @@
 
 
 class StatusCalls:
-    """Makes the calls on idle connections, or on the one that is kept for them."""
+    """Makes the calls on idle connections, or on the one that serves them alone."""
 
     def __init__(
         self,
@@ -72,7 +72,7 @@
             self._refused(instance, refused)
             return None
         except (BackendConnectionLost, TimeoutError) as error:
-            self.drop(instance)
+            self.close_link(instance)
             log_event("status_failed", instance=instance, reason=repr(error))
             self._on_unreachable(instance)
             return None
@@ -96,7 +96,7 @@
             self._connections.opener.note_no_room(instance)
 
     async def _ask_hedged(self, instance: str, call: StatusCall) -> InstanceStatus:
-        """Ask on some link; where that says nothing, on a new one beside it."""
+        """Ask on some link; where that stays silent, on a new one beside it."""
         first = self._loop.create_task(self._ask_on_some_link(instance, call))
         second: asyncio.Task[InstanceStatus] | None = None
         try:
@@ -139,8 +139,8 @@
         )
 
     async def ask_anew(self, instance: str, call: StatusCall) -> InstanceStatus:
-        """Ask on a new connection, which is kept for status calls; raises as `InstanceLink`."""
-        self.drop(instance)
+        """Ask on a new connection, which then serves status calls; raises as `InstanceLink`."""
+        self.close_link(instance)
         return await call(await self._new_link(instance))
 
     async def _ask_on_some_link(self, instance: str, call: StatusCall) -> InstanceStatus:
@@ -158,7 +158,7 @@
                 return await call(link)
             except BackendConnectionLost:
                 # Silent for the same reason; it is replaced by a new one.
-                self.drop(instance)
+                self.close_link(instance)
         return await call(await self._new_link(instance))
 
     async def _idle_connection(self, instance: str) -> int | None:
@@ -193,18 +193,18 @@
         self.links[instance] = link
         return link
 
-    def drop(self, instance: str) -> None:
-        """Close the connection that is kept for status calls."""
+    def close_link(self, instance: str) -> None:
+        """Close the connection of an instance that serves such calls alone."""
         link = self.links.pop(instance, None)
         if link is not None:
             link.close()
 
     def forget(self, instance: str) -> None:
         """An instance left long ago."""
-        self.drop(instance)
+        self.close_link(instance)
         self._hedge_pauses.forget(instance)
 
     def close(self) -> None:
         """Close all of them."""
         for instance in list(self.links):
-            self.drop(instance)
+            self.close_link(instance)
--- a/src/orchidwind/shared/core/checked_decoding.py
+++ b/src/orchidwind/shared/core/checked_decoding.py
@@ -1,4 +1,7 @@
-"""Decodes what operators wrote; a fault is told with its source, key and reason."""
+"""Decodes what operators wrote; an error names its source, key and reason.
+
+Relies on msgspec for the form of the text; raises SettingsError alone.
+"""
 
 from __future__ import annotations
 
--- a/src/orchidwind/shared/core/pool.py
+++ b/src/orchidwind/shared/core/pool.py
@@ -215,7 +215,7 @@
     def trim(self) -> list[PoolEffect]:
         """Close idle connections beyond the most that were needed at once since the last trim.
 
-        One is kept. Fewer connections leave room for the new ones of proxies that lost power: an
+        One stays. Fewer connections leave room for the new ones of proxies that lost power: an
         instance counts their old ones for some seconds more.
         """
         spare = self.size - max(self._most_needed, 1)
