--- /dev/null
+++ b/src/orchidwind/promoted/group/pool_driver.py
@@ -0,0 +1,182 @@
+"""Carries out what the connection pools of one group decide.
+
+What for: `shared/core/pool` decides without I/O when to grant, open, close and refuse; this opens
+and closes the connections, answers the requests that wait, and reports to the pools what came of
+it.
+
+Owns: the records of open connections, the pools, the requests that wait and the tasks that open
+connections. Relies on the connector's protocol (`connection_opener`).
+"""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable, Iterable
+
+from orchidwind.promoted.core.group_state import GroupState
+from orchidwind.promoted.group.background_tasks import BackgroundTasks
+from orchidwind.promoted.group.connection_opener import CONNECTION_LIMIT_MET, ConnectionOpener
+from orchidwind.promoted.group.connection_records import ConnectionRecords
+from orchidwind.promoted.group.instance_pools import InstancePools
+from orchidwind.promoted.group.waiting_grants import WaitingGrants
+from orchidwind.promoted.ports import InstanceConnector
+from orchidwind.shared.core.errors import BackendConnectionLost, BackendRefused
+from orchidwind.shared.core.pool import (
+    CloseConnection,
+    Grant,
+    InstancePool,
+    OpenConnection,
+    PoolEffect,
+)
+from orchidwind.shared.logs import log_event
+
+# Shortest pause before a pool is looked at again, seconds. Chosen: bounds the wake-ups.
+_SHORTEST_RETRY_SECONDS = 0.01
+# Seconds after which a connection is tried again where the instance had no room. Requests go
+# elsewhere meanwhile. Chosen: an attempt that is turned away costs the instance nothing.
+_OPEN_AGAIN_SECONDS = 0.25
+
+
+class PoolDriver:
+    """`on_suspect` gets instances whose connections broke, `on_unreachable` those without answer.
+
+    Times are in seconds of the loop's clock.
+    """
+
+    def __init__(
+        self,
+        state: GroupState,
+        connector: InstanceConnector,
+        on_suspect: Callable[[str], None],
+        on_unreachable: Callable[[str], None],
+    ) -> None:
+        self.records = ConnectionRecords()
+        self.pools = InstancePools()
+        self.opener = ConnectionOpener(state.topology, connector)
+        self.waiting = WaitingGrants()
+        self._state = state
+        self._topology = state.topology
+        self._on_suspect = on_suspect
+        self._on_unreachable = on_unreachable
+        self._loop = asyncio.get_running_loop()
+        self._tasks = BackgroundTasks()
+
+    def pool_of(self, connection: int) -> InstancePool | None:
+        """The pool of an open connection; None once its instance is forgotten."""
+        return self.pools.known(self.records.instance_of.get(connection, ""))
+
+    def release(self, connection: int, reusable: bool) -> None:
+        """Give a connection back."""
+        instance = self.records.instance_of.get(connection)
+        if instance is None:
+            return
+        view = self._topology.instances.get(instance)
+        reusable = reusable and view is not None and view.unreachable_since is None
+        pool = self.pools.known(instance)
+        if pool is None:
+            # The instance was forgotten while a request held the connection.
+            self.close_connection(connection)
+            return
+        self.perform(pool.release(connection, self._loop.time(), reusable))
+
+    def close_resting(self, connection: int) -> None:
+        """Close a connection that a request may hold; its place is free.
+
+        Who holds it finds it closed at its next message. A message that left meanwhile stays with
+        its own time limit, as it may have run.
+        """
+        instance = self.records.instance_of.get(connection)
+        if instance is None or connection in self.records.exchange_began_at:
+            return
+        pool = self.pool_of(connection)
+        self.close_connection(connection)
+        if pool is not None:
+            self.perform(pool.lost(connection, self._loop.time()))
+            self.settle_later(pool)
+
+    def perform(self, effects: Iterable[PoolEffect]) -> None:
+        """Carry out what a pool has decided."""
+        for effect in effects:
+            if isinstance(effect, Grant):
+                self._grant(effect)
+            elif isinstance(effect, OpenConnection):
+                self._tasks.start(self._open(effect))
+            elif isinstance(effect, CloseConnection):
+                self.close_connection(effect.connection)
+            else:
+                self.waiting.refuse(effect)
+
+    def _grant(self, grant: Grant) -> None:
+        if not self.waiting.grant(grant):
+            self._loop.call_soon(self.release, grant.connection, True)
+
+    async def open_first(self, instance: str) -> None:
+        """Open a connection to an instance where there is none, and wait for it.
+
+        Raises BackendRefused, BackendConnectionLost. Who stops waiting leaves it to be opened.
+        """
+        for effect in self.pools.of(instance).open_one():
+            error = await asyncio.shield(self._tasks.start(self._open(effect)))
+            if error is not None:
+                raise error
+
+    async def _open(self, effect: OpenConnection) -> BackendRefused | BackendConnectionLost | None:
+        """Open a connection for a pool; why there is none, as it was logged."""
+        number, instance = effect.connection, effect.instance
+        pool = self.pools.of(instance)
+        try:
+            link = await self.opener.open(instance, lambda: self._lost_outside_exchange(number))
+        except BackendRefused as refused:
+            log_event("connection_refused", instance=instance, reason=str(refused))
+            limit_met = refused.sqlstate == CONNECTION_LIMIT_MET
+            if limit_met:
+                self.opener.note_no_room(instance)
+                self._loop.call_later(_OPEN_AGAIN_SECONDS, self._open_again, pool)
+            self._open_failed(pool, number, limit_met)
+            return refused
+        except BackendConnectionLost as lost:
+            log_event("connection_failed", instance=instance, reason=str(lost))
+            self._on_unreachable(instance)
+            self._open_failed(pool, number, limit_met=False)
+            return lost
+        self.records.opened(number, instance, link)
+        self._state.connection_opened(number)
+        self._topology.answered(instance, self._loop.time())
+        self.perform(pool.opened(number, self._loop.time()))
+        return None
+
+    def _open_failed(self, pool: InstancePool, connection: int, limit_met: bool) -> None:
+        self.perform(pool.open_failed(connection, self._loop.time(), limit_met))
+        self.settle_later(pool)
+
+    def _open_again(self, pool: InstancePool) -> None:
+        """Requests go elsewhere meanwhile, so nobody waits here: open one all the same."""
+        if not self.opener.closed and self.pools.known(pool.instance) is pool:
+            self.perform(pool.open_one())
+
+    def settle_later(self, pool: InstancePool) -> None:
+        """Have a pool decide again when it wants to."""
+        due = pool.deadline()
+        if due is not None and not self.opener.closed:
+            wait = max(due, self._loop.time() + _SHORTEST_RETRY_SECONDS)
+            self._loop.call_at(wait, lambda: self.perform(pool.tick(self._loop.time())))
+
+    def _lost_outside_exchange(self, connection: int) -> None:
+        instance = self.records.instance_of.get(connection)
+        if instance is None or connection in self.records.exchange_began_at:
+            return
+        self.close_resting(connection)
+        self._on_suspect(instance)
+
+    def close_connection(self, connection: int) -> None:
+        """Close a connection; the pool is not informed."""
+        self._state.connection_closed(connection)
+        self.records.close(connection)
+
+    def close(self) -> None:
+        """Close every connection."""
+        self.opener.close()
+        self._tasks.cancel()
+        for connection in list(self.records.links):
+            self.close_connection(connection)
+        self.pools.clear()
