--- a/src/orchidwind/promoted/core/instance_silence.py
+++ b/src/orchidwind/promoted/core/instance_silence.py
@@ -122,14 +122,14 @@
 
 
 class InstancePauses:
-    """Keeps what may be done at each instance only once in a while."""
+    """Bounds how often something is done at each instance: once in `pause_seconds`."""
 
     def __init__(self, pause_seconds: float) -> None:
         self._pause = pause_seconds
         self._begun_at: dict[str, float] = {}
 
     def due(self, instance: str, now: float) -> bool:
-        """Whether the pause at an instance is over."""
+        """Whether it may be done at an instance again."""
         return now - self._begun_at.get(instance, float("-inf")) >= self._pause
 
     def begin(self, instance: str, now: float) -> None:
