--- a/src/orchidwind/promoted/group/silent_connections.py
+++ b/src/orchidwind/promoted/group/silent_connections.py
@@ -200,6 +200,7 @@
 
 
 async def _cancel(asking: Iterable[asyncio.Task[Answer]]) -> None:
+    """End queries. Their errors need no line: a connection that broke is closed by its pool."""
     for task in asking:
         task.cancel()
     await asyncio.gather(*asking, return_exceptions=True)
