--- a/src/orchidwind/promoted/proxy_runtime.py
+++ b/src/orchidwind/promoted/proxy_runtime.py
@@ -1,12 +1,18 @@
-"""One proxy for promoted groups: configuration, directory, groups and sessions."""
+"""One proxy for promoted groups: puts its parts together, and keeps its groups in force.
+
+For: `platform.main`, which gives it the ports, and the simulated worlds. Owns the configuration in
+force and the groups; directory, members, views, lead lease and links are owned by the parts that
+are made here. Relies on `core.homes` (through `PeerNetwork`) for which groups it holds connections
+of. A group is never taken away: one that the configuration drops is asked for by nobody.
+"""
 
 from __future__ import annotations
 
 import asyncio
-import logging
-from collections.abc import Awaitable, Callable, Iterable
+from collections.abc import Iterable, Mapping
 from typing import Any
 
+from orchidwind.promoted.background_tasks import BackgroundTasks
 from orchidwind.promoted.callers.session_registry import SessionRegistry
 from orchidwind.promoted.core.commands import Command
 from orchidwind.promoted.core.configuration import (
@@ -22,22 +28,23 @@
 from orchidwind.promoted.group.lease_keeper import LeaseKeeper
 from orchidwind.promoted.group.operator_status import OperatorStatus, group_status
 from orchidwind.promoted.group.roster_keeper import RosterKeeper
+from orchidwind.promoted.instance_directory import InstanceDirectory
 from orchidwind.promoted.metrics import ProxyMetrics
 from orchidwind.promoted.peers.home_ports import HomePorts
 from orchidwind.promoted.peers.peer_network import GroupFacts, PeerNetwork
 from orchidwind.promoted.peers.peer_service import PeerService
 from orchidwind.promoted.ports import ProxyPorts
+from orchidwind.promoted.upkeep import Upkeep
 from orchidwind.promoted.views.collection_watch import CollectionWatch
+from orchidwind.promoted.views.configuration_follower import ConfigurationFollower
 from orchidwind.promoted.views.followed_views import GATHER_MEMBERS_SECONDS, ProxyBounds, ProxyViews
-from orchidwind.promoted.views.view_followers import ConfigurationFollower, DirectoryFollower
 from orchidwind.promoted.views.view_reporter import ViewReporter
 from orchidwind.shared.core.errors import ErrorKind
 from orchidwind.shared.logs import log_event
 
-_FORGET_SECONDS = 5.0
+# One success in so many is logged; failures are all logged. Chosen: at some hundred requests a
+# second a line or two, enough to see what a usual request does.
 _LOGGED_SUCCESSES = 200
-_TRIM_SECONDS = 1.5
-_FIGURES_SECONDS = 10.0
 
 
 class ProxyRuntime:
@@ -58,48 +65,55 @@
         self.transaction_idle = DEFAULT_TRANSACTION_IDLE_SECONDS
         self.groups: dict[str, GroupService] = {}
         self._ports = ports
-        self.directory: dict[str, DirectoryEntry] = {}
-        self._directory_listed = False
+        self._background = BackgroundTasks()
+        self._directory = InstanceDirectory(self.groups, self._note_prepared)
+        self._upkeep = Upkeep(self.groups, self.metrics)
         self.rosters = RosterKeeper(self.groups, ports.roster_store)
         self._lock = PromotionLockClient(name, ports.lock_store, self.rosters)
         self.registry = SessionRegistry()
-        self.homes = PeerNetwork(
-            own,
-            ports.peers,
-            ports.member_store,
-            GroupFacts(self._connection_limit, lambda: len(self.groups), self._starved),
-            self._homes_changed,
-            self.metrics.silent,
+        self.homes = self._peer_network(own)
+        self.views = ProxyViews(
+            ports, self._bounds, self.homes, self.metrics, self._background.spawn
         )
-        self.views = ProxyViews(ports, self._bounds, self.homes, self.metrics, self._spawn)
         self.leases = LeaseKeeper(
             name, ports.lock_store, ports.leases, self.homes.lock_readers, self._lock.saw
         )
-        self.peer_service = PeerService(
-            HomePorts(
-                self.group,
-                self.registry,
-                self.leases.report,
-                lambda: self.transaction_idle,
-                ViewReporter(self).report,
-            )
-        )
+        self.peer_service = PeerService(self._home_ports())
         self._coordinating = False
-        self._tasks: list[asyncio.Task[None]] = []
         self._prepared = asyncio.Event()
         self._successes = 0
 
+    def _peer_network(self, own: ProxyMember) -> PeerNetwork:
+        facts = GroupFacts(self._connection_limit, lambda: len(self.groups), self._starved)
+        return PeerNetwork(
+            own,
+            self._ports.peers,
+            self._ports.member_store,
+            facts,
+            self._homes_changed,
+            self.metrics.silent,
+        )
+
+    def _home_ports(self) -> HomePorts:
+        return HomePorts(
+            groups=self.group,
+            registry=self.registry,
+            read_lock=self.leases.report,
+            transaction_idle=lambda: self.transaction_idle,
+            report_view=ViewReporter(self).report,
+        )
+
     def start(self) -> None:
         """Begin to follow the store."""
         self.views.follow_configuration(ConfigurationFollower(self.adopt))
-        self._spawn(self._follow_members)
-        self._spawn(self._forget_old)
-        self._spawn(self._trim)
-        self._spawn(self._log_figures)
+        self._background.spawn(self._follow_members)
+        self._background.spawn(self._upkeep.forget_old_instances)
+        self._background.spawn(self._upkeep.trim_connections)
+        self._background.spawn(self._upkeep.log_figures)
 
     async def _follow_members(self) -> None:
         is_new = await self.homes.own_entry.write()
-        self._spawn(self.homes.own_entry.keep)
+        self._background.spawn(self.homes.own_entry.keep)
         if is_new:
             # Where this proxy was never listed, others may start at the same moment: read them all.
             await asyncio.sleep(GATHER_MEMBERS_SECONDS)
@@ -113,30 +127,17 @@
         if self._coordinating:
             return
         self._coordinating = True
-        follower = DirectoryFollower(
-            self.directory_listed, self.instance_listed, self.instance_gone
-        )
-        self.views.follow_directory(follower, self._directory_followers)
+        self.views.follow_directory(self._directory, self._directory_followers)
         self.views.follow_coordination(self.leases, self.rosters)
-        self._spawn(self.rosters.run)
-        self._spawn(self.leases.run)
-        self._spawn(self.leases.confirm_drops)
+        self._background.spawn(self.rosters.run)
+        self._background.spawn(self.leases.run)
+        self._background.spawn(self.leases.confirm_drops)
 
     def _directory_followers(self) -> Iterable[ProxyMember]:
         """The homes of all groups."""
         homes = (home for name in self.groups for home in self.homes.placement(name).homes)
         return {home.name: home for home in homes}.values()
 
-    def _spawn(self, work: Callable[[], Awaitable[None]]) -> None:
-        async def run() -> None:
-            try:
-                await work()
-            except Exception as error:  # what ends without a trace is missed later, not now
-                log_event("task_ended_unexpectedly", level=logging.ERROR, reason=repr(error))
-                raise
-
-        self._tasks.append(asyncio.get_running_loop().create_task(run()))
-
     @property
     def prepared(self) -> bool:
         """Whether requests can be served."""
@@ -153,8 +154,7 @@
 
     def close(self) -> None:
         """Stop following and close every connection."""
-        for task in self._tasks:
-            task.cancel()
+        self._background.close()
         self.homes.close()
         for group in self.groups.values():
             group.close()
@@ -184,6 +184,11 @@
         """A command ended."""
         self.metrics.finished(database.consistency.value, command.kind, error, seconds)
 
+    @property
+    def directory(self) -> Mapping[str, DirectoryEntry]:
+        """The instances that are known, by name."""
+        return self._directory.entries
+
     @property
     def members(self) -> Iterable[ProxyMember]:
         """All proxies that are known, this one among them."""
@@ -234,9 +239,7 @@
             self._coordinate,
         )
         self.groups[name] = group
-        for entry in self.directory.values():
-            if entry.group == name:
-                group.entry_changed(entry)
+        self._directory.add_group(group)
         self.rosters.apply(name)
         supervision = GroupSupervision(
             group,
@@ -248,7 +251,7 @@
             self.views.refresh_before_failover,
             self.metrics,
         )
-        self._spawn(supervision.run)
+        self._background.spawn(supervision.run)
 
     def _connection_limit(self, group: str) -> int:
         """How many connections an instance of a group takes, over all proxies."""
@@ -272,58 +275,15 @@
                 self._coordinate()
         self._note_prepared()
 
-    # --- directory ----------------------------------------------------------------------------
-
-    def directory_listed(self, entries: tuple[DirectoryEntry, ...]) -> bool:
-        """The whole directory was read; whether it differs from the one that was held."""
-        listed = {entry.instance: entry for entry in entries}
-        differs = listed != self.directory or not self._directory_listed
-        for name in [name for name in self.directory if name not in listed]:
-            self.instance_gone(name, removal_unseen=True)
-        for entry in entries:
-            self.instance_listed(entry)
-        self._directory_listed = True
-        self._note_prepared()
-        return differs
-
-    def instance_listed(self, entry: DirectoryEntry) -> None:
-        """An instance is listed, or its entry changed."""
-        self.directory[entry.instance] = entry
-        group = self.groups.get(entry.group)
-        if group is not None:
-            group.entry_changed(entry)
-
-    def instance_gone(self, instance: str, removal_unseen: bool = False) -> None:
-        """An instance is no longer listed; `removal_unseen`: it may come back."""
-        entry = self.directory.pop(instance, None)
-        group = self.groups.get(entry.group) if entry is not None else None
-        if group is not None:
-            group.entry_gone(instance, removal_unseen)
-
     def _note_prepared(self) -> None:
         if self.configuration is None or not self.homes.known:
             return
-        if self._coordinating and not self._directory_listed:
+        if self._coordinating and not self._directory.read:
             return
         if not self._prepared.is_set():
             log_event("prepared", version=self.configuration.version)
         self._prepared.set()
 
-    async def _log_figures(self) -> None:
-        while True:
-            await asyncio.sleep(_FIGURES_SECONDS)
-            log_event("figures", **self.metrics.message_counts())
-            log_event("attempts", **self.metrics.attempt_counts())
-            log_event("store_calls", **self.metrics.store_call_counts())
-            log_event("views_reported", **self.metrics.view_report_counts())
-            log_event("silent_connections", **self.metrics.silent_counts())
-
-    async def _trim(self) -> None:
-        while True:
-            await asyncio.sleep(_TRIM_SECONDS)
-            for group in self.groups.values():
-                group.trim()
-
     def status(self) -> OperatorStatus:
         """What this proxy believes, for operators."""
         now = asyncio.get_running_loop().time()
@@ -337,9 +297,3 @@
             promotion_lock_holder=self.leases.holder,
             groups=[group_status(group, now) for group in self.groups.values()],
         )
-
-    async def _forget_old(self) -> None:
-        while True:
-            await asyncio.sleep(_FORGET_SECONDS)
-            for group in self.groups.values():
-                await group.forget_old()
--- a/src/orchidwind/promoted/views/view_reporter.py
+++ b/src/orchidwind/promoted/views/view_reporter.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable, Iterable
+from collections.abc import Callable, Iterable, Mapping
 from dataclasses import dataclass
 from typing import Any, Protocol
 
@@ -35,9 +35,12 @@
     """What a proxy holds of the views that it reports to others."""
 
     configuration: PromotedConfiguration | None
-    directory: dict[str, DirectoryEntry]
     metrics: ProxyMetrics
 
+    @property
+    def directory(self) -> Mapping[str, DirectoryEntry]:
+        """The instances that are known."""
+
     @property
     def members(self) -> Iterable[ProxyMember]:
         """All proxies that are known."""
