--- a/src/orchidwind/promoted/metrics.py
+++ b/src/orchidwind/promoted/metrics.py
@@ -1,4 +1,9 @@
-"""Figures of a proxy of promoted groups, in Prometheus' text form."""
+"""Figures of a proxy of promoted groups, in Prometheus' text form.
+
+For: all drivers of this half, which count by the methods of `ProxyMetrics`. Owns the names and
+labels of the figures: dashboards read them, so they do not change. docs/OPERATIONS.md says what is
+normal.
+"""
 
 from __future__ import annotations
 
@@ -10,151 +15,183 @@
 from orchidwind.shared.core.errors import ErrorKind
 from orchidwind.shared.silence import SilentConnection, log_silent
 
+# Bounds of the times of requests, seconds. Chosen: from one round trip to the longest time-out,
+# each about twice the one before.
 _LATENCY_BUCKETS = (0.002, 0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2)
 
 
-class ProxyMetrics:
-    """All figures; one object a process."""
+class _Figures:
+    """Makes figures in one registry."""
 
-    def __init__(self) -> None:
-        self.registry = CollectorRegistry()
-        self._requests = Counter(
+    def __init__(self, registry: CollectorRegistry) -> None:
+        self._registry = registry
+
+    def counter(self, name: str, text: str, *labels: str) -> Counter:
+        return Counter(name, text, labels, registry=self._registry)
+
+    def gauge(self, name: str, text: str, *labels: str) -> Gauge:
+        return Gauge(name, text, labels, registry=self._registry)
+
+    def histogram(self, name: str, text: str, *labels: str) -> Histogram:
+        return Histogram(name, text, labels, buckets=_LATENCY_BUCKETS, registry=self._registry)
+
+
+class _CallerFigures:
+    """What callers asked for and how it ended."""
+
+    def __init__(self, make: _Figures) -> None:
+        self.requests = make.counter(
             "orchidwind_requests",
             "Commands finished, by consistency, kind and result",
-            ["consistency", "command", "result"],
-            registry=self.registry,
+            "consistency",
+            "command",
+            "result",
         )
-        self._seconds = Histogram(
+        self.seconds = make.histogram(
             "orchidwind_request_seconds",
             "Time from a command's arrival to its answer, by consistency",
-            ["consistency"],
-            buckets=_LATENCY_BUCKETS,
-            registry=self.registry,
+            "consistency",
         )
-        self._failovers = Counter(
+        self.forwarded = make.counter(
+            "orchidwind_forwarded_commands", "Commands sent to homes, by outcome", "outcome"
+        )
+        self.sessions = make.gauge("orchidwind_callers", "Callers' sessions")
+
+
+class _InstanceFigures:
+    """What was sent to instances, and which changes of primary were tried."""
+
+    def __init__(self, make: _Figures) -> None:
+        self.failovers = make.counter(
             "orchidwind_failovers",
             "Changes of primary that this proxy tried, by reason and outcome",
-            ["reason", "outcome"],
-            registry=self.registry,
+            "reason",
+            "outcome",
         )
-        self._messages = Counter(
+        self.messages = make.counter(
             "orchidwind_instance_messages",
             "Messages to instances, by kind; status and control calls are kinds of their own",
-            ["kind"],
-            registry=self.registry,
+            "kind",
         )
-        self._attempts = Counter(
+        self.attempts = make.counter(
             "orchidwind_instance_attempts",
             "Attempts answered by instances, by what was asked for, role of the instance, answer",
-            ["asked", "role", "answer"],
-            registry=self.registry,
+            "asked",
+            "role",
+            "answer",
         )
-        self._store_calls = Counter(
+        self.silent = make.counter(
+            "orchidwind_silent_connections",
+            "Open connections that were found silent, by what they were for",
+            "connection",
+        )
+
+
+class _ViewFigures:
+    """What is followed from the store and from other proxies."""
+
+    def __init__(self, make: _Figures) -> None:
+        self.store_calls = make.counter(
             "orchidwind_store_calls",
             "Calls to the platform's store, by method and kind of object",
-            ["method", "kind"],
-            registry=self.registry,
+            "method",
+            "kind",
         )
-        self._view_reports = Counter(
+        self.reports = make.counter(
             "orchidwind_view_reports",
             "Answers to other proxies about a followed view: confirmed, or with its content",
-            ["view", "told"],
-            registry=self.registry,
+            "view",
+            "told",
         )
-        self._view_items = Counter(
+        self.items = make.counter(
             "orchidwind_view_items_told",
             "Items of a followed view in the answers to other proxies",
-            ["view"],
-            registry=self.registry,
-        )
-        self._forwarded = Counter(
-            "orchidwind_forwarded_commands",
-            "Commands sent to homes, by outcome",
-            ["outcome"],
-            registry=self.registry,
-        )
-        self._silent = Counter(
-            "orchidwind_silent_connections",
-            "Open connections that were found silent, by what they were for",
-            ["connection"],
-            registry=self.registry,
+            "view",
         )
-        self.sessions = Gauge("orchidwind_callers", "Callers' sessions", registry=self.registry)
-        self.configuration_version = Gauge(
-            "orchidwind_configuration_version",
-            "Version of the configuration in force",
-            registry=self.registry,
+        self.configuration_version = make.gauge(
+            "orchidwind_configuration_version", "Version of the configuration in force"
         )
-
-        self._watch_age = Gauge(
+        self.age = make.gauge(
             "orchidwind_view_age_seconds",
             "Time since a followed view was last known to be current",
-            ["view"],
-            registry=self.registry,
+            "view",
         )
 
+
+class ProxyMetrics:
+    """All figures; one object a process."""
+
+    def __init__(self) -> None:
+        self.registry = CollectorRegistry()
+        make = _Figures(self.registry)
+        self._callers = _CallerFigures(make)
+        self._instances = _InstanceFigures(make)
+        self._views = _ViewFigures(make)
+        self.sessions = self._callers.sessions
+        self.configuration_version = self._views.configuration_version
+
     def watch_age(self, view: str, seconds: Callable[[], float]) -> None:
         """The age of a view, asked for whenever the figures are read."""
-        self._watch_age.labels(view).set_function(seconds)
+        self._views.age.labels(view).set_function(seconds)
 
     def finished(
         self, consistency: str, command: CommandKind, error: ErrorKind | None, seconds: float
     ) -> None:
         """A command ended."""
         result = "ok" if error is None else error.value
-        self._requests.labels(consistency, command.value, result).inc()
-        self._seconds.labels(consistency).observe(seconds)
+        self._callers.requests.labels(consistency, command.value, result).inc()
+        self._callers.seconds.labels(consistency).observe(seconds)
 
     def failover(self, reason: str, outcome: str) -> None:
         """A change of primary ended."""
-        self._failovers.labels(reason, outcome).inc()
+        self._instances.failovers.labels(reason, outcome).inc()
 
     def message(self, kind: str) -> None:
         """A message went to an instance."""
-        self._messages.labels(kind).inc()
+        self._instances.messages.labels(kind).inc()
 
     def attempt(self, asked: str, role: str, answer: str) -> None:
         """An instance answered an attempt."""
-        self._attempts.labels(asked, role, answer).inc()
+        self._instances.attempts.labels(asked, role, answer).inc()
 
     def store_call(self, method: str, kind: str) -> None:
         """A call to the store was made."""
-        self._store_calls.labels(method, kind).inc()
+        self._views.store_calls.labels(method, kind).inc()
 
     def view_reported(self, view: str, content: str, items: int) -> None:
-        """Another proxy was told of a view, with so many items."""
-        self._view_reports.labels(view, content).inc()
-        self._view_items.labels(view).inc(items)
+        """A view was reported to another proxy, with so many items."""
+        self._views.reports.labels(view, content).inc()
+        self._views.items.labels(view).inc(items)
 
     def forwarded(self, outcome: str) -> None:
         """A command that was sent to a home has ended."""
-        self._forwarded.labels(outcome).inc()
+        self._callers.forwarded.labels(outcome).inc()
 
     def silent(self, found: SilentConnection) -> None:
         """An open connection was found silent: it is logged and counted."""
         log_silent(found)
-        self._silent.labels(found.kind.value).inc()
+        self._instances.silent.labels(found.kind.value).inc()
 
     def silent_counts(self) -> dict[str, int]:
         """Connections found silent so far, by kind."""
-        return _counts(self._silent)
+        return _counts(self._instances.silent)
 
     def message_counts(self) -> dict[str, int]:
         """Messages so far, by kind."""
-        return _counts(self._messages)
+        return _counts(self._instances.messages)
 
     def attempt_counts(self) -> dict[str, int]:
         """Attempts so far, by what was asked for, role of the instance, and answer."""
-        return _counts(self._attempts)
+        return _counts(self._instances.attempts)
 
     def store_call_counts(self) -> dict[str, int]:
         """Calls to the store so far, by method and kind."""
-        return _counts(self._store_calls)
+        return _counts(self._views.store_calls)
 
     def view_report_counts(self) -> dict[str, int]:
-        """Answers to other proxies so far, by view and what was told, and the items they held."""
-        items = {f"{view}_items": count for view, count in _counts(self._view_items).items()}
-        return _counts(self._view_reports) | items
+        """Reports to other proxies so far, by view and form, and the items they held."""
+        items = {f"{view}_items": count for view, count in _counts(self._views.items).items()}
+        return _counts(self._views.reports) | items
 
     def render(self) -> bytes:
         """The text form."""
