--- a/src/orchidwind/promoted/callers/command_runner.py
+++ b/src/orchidwind/promoted/callers/command_runner.py
@@ -1,14 +1,19 @@
-"""Runs the commands of one session on a group of this proxy: drives the flows of the core."""
+"""Runs the commands of one session on a group of this proxy: drives the flows of the core.
+
+For: `session_executor` (own callers) and `peers.remote_session` (callers of other proxies). Owns
+the connections that a running command holds, until its flow gives them back. Relies on `core.flows`
+for what is done and in which order, on `GroupService` for instances, on `core.command_limits` for
+times.
+"""
 
 from __future__ import annotations
 
 import asyncio
 import random
-from dataclasses import dataclass
 
 from orchidwind.promoted.callers.flow_driver import drive
+from orchidwind.promoted.core.command_limits import TimeLimits, spread_pause, traffic_class
 from orchidwind.promoted.core.commands import CommandResult, MessageKind
-from orchidwind.promoted.core.configuration import DatabaseRoute
 from orchidwind.promoted.core.flow_parts import CommandContext
 from orchidwind.promoted.core.flows import command_flow
 from orchidwind.promoted.core.session import Session
@@ -24,34 +29,8 @@
     WaitForReadPlan,
 )
 from orchidwind.promoted.group.group_service import GroupService
-from orchidwind.shared.core.admission import TrafficClass
 from orchidwind.shared.core.errors import BackendConnectionLost, ErrorKind, RequestError
 
-_QUEUE_BOUND = 400
-_HIGHEST_WEIGHT = 8.0
-# Pauses last from half to one and a half times as long as the flow says.
-_SHORTEST_PAUSE_SHARE = 0.5
-
-
-@dataclass(frozen=True, slots=True)
-class TimeLimits:
-    """Until when a command may run, and until when it may wait unsent; steady clock, seconds."""
-
-    deadline: float
-    hold_until: float
-
-    def held_anew(self, now: float) -> TimeLimits:
-        """For a command that was sent in vain: it may wait for half of what is left, at least."""
-        return TimeLimits(self.deadline, max(self.hold_until, (now + self.deadline) / 2))
-
-
-def traffic_class(database: DatabaseRoute) -> TrafficClass:
-    """The class of a database's requests: each step of priority halves the weight."""
-    weight = _HIGHEST_WEIGHT / 2**database.priority
-    return TrafficClass(
-        f"priority-{database.priority}", weight, database.statement_timeout, _QUEUE_BOUND
-    )
-
 
 class CommandRunner:
     """The commands of one session, one at a time."""
@@ -129,8 +108,7 @@
             ) from error
 
     async def _pause(self, step: Pause, deadline: float) -> None:
-        # Commands that were refused together must not ask together again.
-        seconds = step.seconds * (_SHORTEST_PAUSE_SHARE + random.random())
+        seconds = spread_pause(step.seconds, random.random())
         if self._loop.time() + seconds >= deadline:
             raise RequestError(ErrorKind.OVERLOADED, "the instances refused it until its deadline")
         await asyncio.sleep(seconds)
--- a/src/orchidwind/promoted/callers/session_executor.py
+++ b/src/orchidwind/promoted/callers/session_executor.py
@@ -1,12 +1,18 @@
-"""Carries out the commands of one caller's session, at this proxy or at the group's home."""
+"""Carries out the commands of one caller's session, at this proxy or at the group's home.
+
+For: the callers' edge, one object a session. Owns the session's state and the time for which its
+transaction may rest. Relies on `command_runner` here, on `peers.forwarding` where another proxy is
+the group's home, and on `core.session` for what needs no instance.
+"""
 
 from __future__ import annotations
 
 import asyncio
 from typing import Protocol
 
-from orchidwind.promoted.callers.command_runner import CommandRunner, TimeLimits
+from orchidwind.promoted.callers.command_runner import CommandRunner
 from orchidwind.promoted.core.answers import transaction_lost
+from orchidwind.promoted.core.command_limits import TimeLimits
 from orchidwind.promoted.core.commands import (
     Command,
     CommandKind,
@@ -21,8 +27,8 @@
 from orchidwind.shared.core.errors import ANSWERS, ErrorKind, RequestError
 from orchidwind.shared.logs import log_event
 
+# So many attempts go into a log line. Chosen: the last ones tell the outcome.
 _LOGGED_ATTEMPTS = 6
-_HOLD_SHARE = 0.5
 
 
 class Databases(Protocol):
@@ -162,9 +168,9 @@
         self.session.transaction.last_used = self._loop.time()
         if self._rest_timer is None:
             idle = self._databases.transaction_idle
-            self._rest_timer = self._loop.call_later(idle, self._look_at_rest)
+            self._rest_timer = self._loop.call_later(idle, self._check_rest)
 
-    def _look_at_rest(self) -> None:
+    def _check_rest(self) -> None:
         """A transaction that rests holds a connection that others may wait for."""
         self._rest_timer = None
         transaction = self.session.transaction
@@ -174,7 +180,7 @@
         self._expire_transaction(now)
         if self.session.transaction is not None:
             due = transaction.last_used + self._databases.transaction_idle
-            self._rest_timer = self._loop.call_at(due, self._look_at_rest)
+            self._rest_timer = self._loop.call_at(due, self._check_rest)
 
     # --- commands -----------------------------------------------------------------------------
 
@@ -211,13 +217,12 @@
         group = self._group_of(database)
         context = CommandContext(self.session, group.state, database, command, arrived_at)
         self._context = context
-        held = database.statement_timeout * _HOLD_SHARE
-        limits = TimeLimits(arrived_at + database.statement_timeout, arrived_at + held)
+        limits = TimeLimits.of_new(database, arrived_at)
         if not self._opened_here and self._forwarder.serves(database.group):
             forwarded = await self._forward(context, limits)
             if forwarded is not None:
                 return forwarded
-            limits = limits.held_anew(self._loop.time())
+            limits = limits.after_lost_home(self._loop.time())
         return await self._runner.run(context, group, limits)
 
     async def _forward(self, context: CommandContext, limits: TimeLimits) -> CommandResult | None:
--- /dev/null
+++ b/src/orchidwind/promoted/core/command_limits.py
@@ -0,0 +1,57 @@
+"""How long a command may run and wait, how much it weighs beside others, how its pauses spread.
+
+For: `promoted.callers` and `promoted.peers`, which hold the timers. No I/O: times come in, in
+seconds of one steady clock.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from orchidwind.promoted.core.configuration import DatabaseRoute
+from orchidwind.shared.core.admission import TrafficClass
+
+# The share of a statement's time for which it may wait unsent. Chosen: the other half is left to
+# run it, or to run it elsewhere.
+_HOLD_SHARE = 0.5
+# The weight of priority 0; each further step of priority has half of it. Chosen: only the ratios
+# count, and priorities 0 to 3 get whole numbers.
+_HIGHEST_WEIGHT = 8.0
+# Requests of one class that wait for an instance at most. Chosen: a bound of memory; admission
+# refuses by the time that the queue takes long before (`shared.core.admission`).
+_QUEUE_BOUND = 400
+# Pauses last from half to one and a half times as long as the flow says. Chosen: commands that were
+# refused together must not ask together again.
+_SHORTEST_PAUSE_SHARE = 0.5
+
+
+@dataclass(frozen=True, slots=True)
+class TimeLimits:
+    """Until when a command may run, and until when it may wait unsent; steady clock, seconds."""
+
+    deadline: float
+    hold_until: float
+
+    @classmethod
+    def of_new(cls, database: DatabaseRoute, arrived_at: float) -> TimeLimits:
+        """For a command that has just arrived."""
+        timeout = database.statement_timeout
+        return cls(arrived_at + timeout, arrived_at + timeout * _HOLD_SHARE)
+
+    def after_lost_home(self, now: float) -> TimeLimits:
+        """For a command that was sent in vain: it may wait for half of what is left, at least."""
+        halfway = (now + self.deadline) / 2
+        return TimeLimits(self.deadline, max(self.hold_until, halfway))
+
+
+def traffic_class(database: DatabaseRoute) -> TrafficClass:
+    """The class of a database's requests: each step of priority halves the weight."""
+    weight = _HIGHEST_WEIGHT / 2**database.priority
+    return TrafficClass(
+        f"priority-{database.priority}", weight, database.statement_timeout, _QUEUE_BOUND
+    )
+
+
+def spread_pause(seconds: float, random_share: float) -> float:
+    """A pause as it is made, by a random number from 0 to 1."""
+    return seconds * (_SHORTEST_PAUSE_SHARE + random_share)
--- a/src/orchidwind/promoted/peers/forwarding.py
+++ b/src/orchidwind/promoted/peers/forwarding.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from orchidwind.promoted.callers.command_runner import TimeLimits
+from orchidwind.promoted.core.command_limits import TimeLimits
 from orchidwind.promoted.core.commands import Command, CommandKind, CommandResult
 from orchidwind.promoted.core.flow_parts import CommandContext
 from orchidwind.promoted.core.forwarded_commands import (
@@ -78,7 +78,7 @@
                     return self._rolled_back()
                 if error is not None:
                     raise error from lost
-                limits = limits.held_anew(self._loop.time())
+                limits = limits.after_lost_home(self._loop.time())
                 continue
             return self._take(channel, context, answer)
         return None
--- a/src/orchidwind/promoted/peers/remote_session.py
+++ b/src/orchidwind/promoted/peers/remote_session.py
@@ -11,7 +11,8 @@
 import logging
 from collections.abc import Callable
 
-from orchidwind.promoted.callers.command_runner import CommandRunner, TimeLimits
+from orchidwind.promoted.callers.command_runner import CommandRunner
+from orchidwind.promoted.core.command_limits import TimeLimits
 from orchidwind.promoted.core.commands import TransactionState
 from orchidwind.promoted.core.flow_parts import CommandContext
 from orchidwind.promoted.core.forwarded_commands import (
