--- a/src/orchidwind/commands/explain.py
+++ b/src/orchidwind/commands/explain.py
@@ -1,4 +1,9 @@
-"""Follows one request through the logs of the proxies, from its id to what decided it."""
+"""Follows one request through the logs of the proxies, from its id to what decided it.
+
+For: `orchidwind explain`. Owns which events bear on a request, and from when on. Relies on the
+names of events and fields, which docs/OPERATIONS.md lists. A line of another form is passed over:
+a log may hold what other programs wrote.
+"""
 
 from __future__ import annotations
 
@@ -11,9 +16,11 @@
 from orchidwind.shared.core.errors import OrchidwindError
 
 _FIELD = re.compile(r'(\w+)=("(?:[^"\\]|\\.)*"|\S+)')
+# What a proxy came to believe so long before a request arrived is shown. Chosen: a change of
+# primary takes about a second, and the views' bounds are 3 s.
 _BEFORE = timedelta(seconds=3)
-# A transaction whose connection fell silent at rest is told lost when its caller returns: as late
-# as a transaction may rest, 30 s by default.
+# A caller learns that the connection of its resting transaction fell silent when it comes back: as
+# late as a transaction may rest, 30 s by default.
 _LONGEST_REST = timedelta(seconds=30)
 _FOUND_AT_REST = "instance_resting"
 # A change of primary takes about a second; its lines come from the proxy that made it.
@@ -131,27 +138,27 @@
         return change
     if not own:
         raise RequestNotFound(f"no line names the request {request_id}")
-    told: list[str] = []
+    shown: list[str] = []
     for line in own:
-        told.extend(
+        shown.extend(
             f"  before: {other.text}"
             for other in lines
             if _bears_on(other, line) and _since(other, line) <= other.at <= line.at
         )
-        told.append(f"request: {line.text}")
-    return told + change
+        shown.append(f"request: {line.text}")
+    return shown + change
 
 
 def _change_after(lines: list[LogLine], request_id: str) -> list[str]:
-    """The change of primary that followed a commit, as all proxies tell it."""
-    told = [
+    """The change of primary that followed a commit, as all proxies logged it."""
+    acknowledged = [
         line
         for line in lines
         if line.event == "commits_acknowledged"
         and f"{request_id}@" in line.fields.get("commits", "")
     ]
     story: list[str] = []
-    for line in told:
+    for line in acknowledged:
         story.append(f"told before a change of primary: {line.text}")
         story.extend(
             f"  change: {other.text}"
--- a/src/orchidwind/commands/operations.py
+++ b/src/orchidwind/commands/operations.py
@@ -1,4 +1,8 @@
-"""What the operators' commands do."""
+"""What the operators' commands do.
+
+For: `commands.main`. Owns the rule of `apply`: one of two racing operators wins, and a write whose
+answer is lost is read back. Relies on the object API's client and on a proxy's operator port.
+"""
 
 from __future__ import annotations
 
@@ -16,8 +20,10 @@
 )
 from orchidwind.shared.core.errors import PlatformConflict, PlatformError, SettingsError
 
-_ATTEMPTS = 5
-_PAUSE_SECONDS = 0.3
+# Readings of the object before `apply` fails, and the first pause between two, which grows by
+# itself each time, seconds. Chosen: 3 s in all, as an operator waits for the outcome.
+_READ_ATTEMPTS = 5
+_READ_PAUSE_SECONDS = 0.3
 
 
 def load(file: Path) -> OperatorFile:
@@ -46,9 +52,8 @@
     )
     try:
         written = await client.write(item)
-    except PlatformConflict:
-        return _settle(await _read(client), attempt)
     except PlatformError:
+        # A conflict, too: it may be with this very write, whose first answer was lost.
         return _settle(await _read(client), attempt)
     return int(written.metadata.resource_version)
 
@@ -65,13 +70,13 @@
 
 
 async def _read(client: PlatformClient) -> ConfigurationObject | None:
-    for attempt in range(_ATTEMPTS):
+    for attempt in range(_READ_ATTEMPTS):
         try:
             return await client.read()
         except PlatformError:
-            if attempt == _ATTEMPTS - 1:
+            if attempt == _READ_ATTEMPTS - 1:
                 raise
-            await asyncio.sleep(_PAUSE_SECONDS * (attempt + 1))
+            await asyncio.sleep(_READ_PAUSE_SECONDS * (attempt + 1))
     return None
 
 
--- a/src/orchidwind/shared/avro_records.py
+++ b/src/orchidwind/shared/avro_records.py
@@ -1,4 +1,8 @@
-"""Avro records without a schema in front, and frames: a 4-byte length and a record."""
+"""Avro records without a schema in front, and frames: a 4-byte length and a record.
+
+For: the codecs of both halves. Owns the frame; what the records are, `messages.avsc` and the codecs
+say. No I/O but the schema's file.
+"""
 
 from __future__ import annotations
 
@@ -11,7 +15,10 @@
 import fastavro
 
 LENGTH = struct.Struct("!I")
+# The longest frame where a codec names no other bound. Chosen: a bound of memory for what another
+# process may send, above the longest answer that a link carries.
 MAXIMUM_FRAME_BYTES = 80 * 1024 * 1024
+# What the Avro library raises for bytes that do not fit the schema.
 DECODE_FAULTS = (EOFError, ValueError, IndexError, KeyError, TypeError, OverflowError)
 
 Fields = dict[str, Any]
--- a/src/orchidwind/shared/logs.py
+++ b/src/orchidwind/shared/logs.py
@@ -1,7 +1,8 @@
 """Structured logs: one line of key=value pairs for each event, on standard output.
 
-Writing never waits for a reader: what does not fit into the pipe is kept up to a bound, then
-dropped and counted.
+For: every module of both halves (`log_event`) and each program's start (`configure_logging`). Owns
+the lines that wait to be written. Writing never waits for a reader: what does not fit into the pipe
+is kept up to a bound, then dropped and counted. `orchidwind explain` reads what is written here.
 """
 
 from __future__ import annotations
@@ -15,7 +16,8 @@
 from pythonjsonlogger.core import BaseJsonFormatter
 
 _QUOTED_SIGNS = set(' "=\n\r\t')
-_KEPT_LINES = 2000
+# Lines that wait for their reader at most. Chosen: some seconds of a busy proxy, below 1 MB.
+_MOST_WAITING_LINES = 2000
 
 
 class KeyValueFormatter(BaseJsonFormatter):
@@ -37,20 +39,20 @@
 class NonBlockingHandler(logging.Handler):
     """Writes lines to a file descriptor without ever waiting for its reader."""
 
-    def __init__(self, descriptor: int, kept_lines: int = _KEPT_LINES) -> None:
+    def __init__(self, descriptor: int, kept_lines: int = _MOST_WAITING_LINES) -> None:
         super().__init__()
         os.set_blocking(descriptor, False)
         self._descriptor = descriptor
         self._lines: deque[bytes] = deque()
         self._kept_lines = kept_lines
         self.dropped = 0
-        self._untold = 0
+        self._dropped_since_line = 0
 
     def emit(self, record: logging.LogRecord) -> None:
         """Write a line, after those that still wait."""
         if len(self._lines) >= self._kept_lines:
             self.dropped += 1
-            self._untold += 1
+            self._dropped_since_line += 1
         else:
             self._lines.append(self.format(record).encode() + b"\n")
         self._write_lines()
@@ -61,26 +63,28 @@
             try:
                 written = os.write(self._descriptor, line)
             except BlockingIOError:
+                # The pipe is full: the rest is written with the next line.
                 return
             except OSError:
+                # Nobody reads any more, so there is nowhere to tell of it.
                 self._lines.clear()
                 return
             if written < len(line):
                 self._lines[0] = line[written:]
                 return
             self._lines.popleft()
-        if self._untold:
-            count, self._untold = self._untold, 0
+        if self._dropped_since_line:
+            count, self._dropped_since_line = self._dropped_since_line, 0
             self._lines.append(f"level=WARNING event=log_lines_dropped count={count}\n".encode())
 
 
-def configure_logging(level: str, node: str, descriptor: int | None = None) -> None:
-    """Send the project's events to standard output, or to a descriptor."""
+def configure_logging(level: str, proxy: str, descriptor: int | None = None) -> None:
+    """Send all events to standard output, or to a descriptor, as lines of a named proxy."""
     handler = NonBlockingHandler(sys.stdout.fileno() if descriptor is None else descriptor)
     formatter = KeyValueFormatter(
         ["levelname", "message"],
         rename_fields={"levelname": "level", "message": "event"},
-        static_fields={"node": node},
+        static_fields={"node": proxy},
         timestamp="at",
     )
     handler.setFormatter(formatter)
--- a/src/orchidwind/shared/settings.py
+++ b/src/orchidwind/shared/settings.py
@@ -1,4 +1,8 @@
-"""The settings file of one proxy process (TOML); flags of the command line override it."""
+"""The settings file of one proxy of elected groups (TOML); flags of the command line override it.
+
+For: `orchidwind proxy`; `parse_address` also for the settings of the other half. Owns the keys,
+their defaults and checks. Unknown keys are refused.
+"""
 
 from __future__ import annotations
 
@@ -10,7 +14,7 @@
 from orchidwind.shared.core.checked_decoding import decode_checked
 from orchidwind.shared.core.errors import SettingsError
 
-_PORT_MAXIMUM = 65535
+_HIGHEST_PORT = 65535
 
 
 class ProxySettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -71,7 +75,7 @@
 def _check(source: str, settings: ProxySettings) -> None:
     for key in ("caller_port", "peer_port", "gossip_port", "operator_port"):
         port = getattr(settings, key)
-        if not 1 <= port <= _PORT_MAXIMUM:
+        if not 1 <= port <= _HIGHEST_PORT:
             raise SettingsError(source, key, f"{port} is not a port")
     for key in ("name", "zone"):
         if not getattr(settings, key):
@@ -90,6 +94,6 @@
 def parse_address(text: str) -> tuple[str, int]:
     """Read "HOST:PORT"; raises ValueError."""
     host, separator, port = text.rpartition(":")
-    if not separator or not port.isdigit() or not 1 <= int(port) <= _PORT_MAXIMUM:
+    if not separator or not port.isdigit() or not 1 <= int(port) <= _HIGHEST_PORT:
         raise ValueError(f"{text!r} is not HOST:PORT")
     return host, int(port)
--- a/src/orchidwind/shared/sockets.py
+++ b/src/orchidwind/shared/sockets.py
@@ -1,12 +1,20 @@
-"""Sockets whose far end is noticed when it goes dark."""
+"""Sockets whose far end is noticed when it goes dark.
+
+For: every TCP connection of both halves. A far end whose machine is gone says nothing; the kernel
+finds that out after about 3 s. A path that acknowledges bytes and delivers none is not found here
+(docs/SILENCE.md).
+"""
 
 from __future__ import annotations
 
 import socket
 
+# At rest: probes after 1 s, each second, two of them unanswered. Chosen: 3 s, the shortest rest
+# that a caller is allowed, and two probes so that one lost packet ends nothing.
 KEEPALIVE_IDLE_SECONDS = 1
 KEEPALIVE_INTERVAL_SECONDS = 1
 KEEPALIVE_PROBES = 2
+# Sent bytes that stay unacknowledged for so long end the connection. Chosen: as at rest.
 USER_TIMEOUT_MILLISECONDS = 3000
 
 
