--- a/src/orchidwind/promoted/instance_directory.py
+++ b/src/orchidwind/promoted/instance_directory.py
@@ -27,14 +27,14 @@
         """A group is new here: it gets the entries that are known already."""
         for entry in self.entries.values():
             if entry.group == group.settings.name:
-                group.entry_changed(entry)
+                group.view_changes.entry_changed(entry)
 
     def listed(self, listing: Listing[DirectoryEntry]) -> bool:
         """The whole directory was read; whether it differs from the one that was held."""
         listed = {entry.instance: entry for entry in listing.items}
         differs = listed != self.entries or not self.read
         for name in [name for name in self.entries if name not in listed]:
-            self._entry_gone(name, lapsed=True)
+            self._entry_gone(name, removal_unseen=True)
         for entry in listing.items:
             self._entry_listed(entry)
         self.read = True
@@ -46,17 +46,17 @@
         for entry in changes.changed:
             self._entry_listed(entry)
         for name in changes.gone:
-            self._entry_gone(name, lapsed=False)
+            self._entry_gone(name, removal_unseen=False)
 
     def _entry_listed(self, entry: DirectoryEntry) -> None:
         self.entries[entry.instance] = entry
         group = self._groups.get(entry.group)
         if group is not None:
-            group.entry_changed(entry)
+            group.view_changes.entry_changed(entry)
 
-    def _entry_gone(self, instance: str, lapsed: bool) -> None:
-        """An instance is no longer listed; `lapsed`: nobody saw its entry go, it may come back."""
+    def _entry_gone(self, instance: str, removal_unseen: bool) -> None:
+        """An instance is no longer listed; `removal_unseen`: it may come back."""
         entry = self.entries.pop(instance, None)
         group = self._groups.get(entry.group) if entry is not None else None
         if group is not None:
-            group.entry_gone(instance, lapsed)
+            group.view_changes.entry_gone(instance, removal_unseen)
