--- a/src/orchidwind_bench/elected/day.py
+++ b/src/orchidwind_bench/elected/day.py
@@ -92,7 +92,7 @@
         await asyncio.sleep(_DAY_SECONDS)
         spent = {name: value - before[name] for name, value in _spent(programs).items()}
         await run.stop_callers()
-        report = await run.report("day", spent)
+        report = await run.report("day")
         shares = {group: (await read_counts(run.deployment, group)).share for group in GROUPS}
         statements = max(len(run.tally.history.writes) + len(run.tally.history.reads), 1)
         return DayReport(
--- a/src/orchidwind_bench/elected/experiments.py
+++ b/src/orchidwind_bench/elected/experiments.py
@@ -324,4 +324,4 @@
             await EXPERIMENTS[name](run)
         finally:
             await run.stop_callers()
-        return await run.report(name, {})
+        return await run.report(name)
--- a/src/orchidwind_bench/promoted/simulation/callers.py
+++ b/src/orchidwind_bench/promoted/simulation/callers.py
@@ -262,9 +262,12 @@
             member_source=SimulatedMembers(self.world, name),
             member_store=SimulatedMembers(self.world, name),
             peers=SimulatedPeerConnector(self.links, name),
-            promotions=SimulatedPromotions(self.world, name, self.group),
+            promotions=SimulatedPromotions(self.world, name, self._promote),
         )
 
+    def _promote(self, group: str, instance: str) -> bool:
+        return self.group.promote(instance)
+
     async def run(self, seconds: float, callers_a_node: int = 4) -> None:
         """Let the callers ask for some seconds, then check what they were told."""
         shipping = asyncio.get_running_loop().create_task(self.group.keep_shipping())
