--- a/src/orchidwind_bench/promoted/simulation/instances.py
+++ b/src/orchidwind_bench/promoted/simulation/instances.py
@@ -4,15 +4,11 @@
 
 import asyncio
 from dataclasses import dataclass
-from typing import TYPE_CHECKING
+from typing import Protocol
 
 from orchidwind.promoted.core.commands import InstanceRole, InstanceStatus
 from orchidwind.shared.core.positions import Position
 
-if TYPE_CHECKING:
-    from orchidwind_bench.promoted.simulation.connections import SimulatedLink
-    from orchidwind_bench.promoted.simulation.groups import SimulatedGroup
-
 RECEIVE_SECONDS = 0.001
 PAUSE_LOOK_SECONDS = 0.01
 # What an instance sends so soon after a pause, it may have decided before.
@@ -27,11 +23,40 @@
     request_id: str
 
 
+class InstanceLink(Protocol):
+    """What an instance asks of a connection to it."""
+
+    # Neither end is told: what is sent is taken and never arrives, here or (`deaf`) there.
+    silent: bool
+    deaf: bool
+
+    def break_off(self, silently: bool) -> None:
+        """End the connection; silently where the machine went dark."""
+
+
+class InstanceGroup(Protocol):
+    """What an instance asks of the group that it belongs to.
+
+    `resets`: a crashed machine resets its connections, otherwise it goes dark.
+    `positions_carry_followed_term`: otherwise a position has the term of the last entry.
+    """
+
+    resets: bool
+    positions_carry_followed_term: bool
+    instances: dict[str, SimulatedInstance]
+
+    def announce(self, instance: SimulatedInstance) -> None:
+        """Write the directory's entry."""
+
+    def ship(self, leader: SimulatedInstance) -> None:
+        """Send the log to every replica."""
+
+
 class SimulatedInstance:
     """One instance. Its log survives a crash; its fence and its connections do not."""
 
     def __init__(
-        self, group: SimulatedGroup, name: str, role: InstanceRole, zone: str, port: int
+        self, group: InstanceGroup, name: str, role: InstanceRole, zone: str, port: int
     ) -> None:
         self.group = group
         self.name = name
@@ -50,7 +75,7 @@
         # It receives from no primary; the proxies reach it.
         self.deaf = False
         self.lose_answers = 0.0
-        self.links: set[SimulatedLink] = set()
+        self.links: set[InstanceLink] = set()
         self.confirmations: list[tuple[int, asyncio.Future[bool]]] = []
         self._paused_until = 0.0
         self._lives = 1
