--- a/src/orchidwind_bench/elected/simulation/home.py
+++ b/src/orchidwind_bench/elected/simulation/home.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 from dataclasses import dataclass, replace
-from typing import TYPE_CHECKING
+from typing import Protocol
 
 from orchidwind.elected.core.group_effects import (
     AbandonConnection,
@@ -21,13 +21,13 @@
 from orchidwind_bench.elected.simulation.database import (
     STATEMENT_SECONDS,
     SessionAnswer,
+    SimulatedGroup,
     SimulatedInstance,
     SimulatedSession,
 )
-from orchidwind_bench.elected.simulation.events import Timer
-
-if TYPE_CHECKING:
-    from orchidwind_bench.elected.simulation.system import SimulatedSystem
+from orchidwind_bench.elected.simulation.events import EventQueue, Timer
+from orchidwind_bench.elected.simulation.network import Network
+from orchidwind_bench.elected.simulation.plan import SystemPlan
 
 _CONNECT_SECONDS = 0.01
 _CONNECT_TIMEOUT_SECONDS = 2.0
@@ -42,15 +42,28 @@
     session: SimulatedSession
 
 
+class HomeSystem(Protocol):
+    """What a home asks of the system that it belongs to."""
+
+    plan: SystemPlan
+    events: EventQueue
+    network: Network
+    database: SimulatedGroup
+
+    def next_number(self) -> int:
+        """A number for a request or a channel."""
+
+
 class SimulatedHome:
     """One home proxy of the group on its host; a restart begins without memory."""
 
-    def __init__(self, system: SimulatedSystem, name: str) -> None:
+    def __init__(self, system: HomeSystem, name: str) -> None:
         self.system = system
         self.name = name
         self.alive = True
-        self.group = system.group_class(
-            dict.fromkeys(system.database.instances, system.share), system.options
+        plan = system.plan
+        self.group = plan.group_class(
+            dict.fromkeys(system.database.instances, plan.share), plan.options
         )
         self._connections: dict[int, _ServerConnection] = {}
         self._waiting: dict[int, OnOutcome] = {}
