--- a/src/orchidwind/promoted/group/group_service.py
+++ b/src/orchidwind/promoted/group/group_service.py
@@ -21,9 +21,10 @@
     PromotedGroupSettings,
 )
 from orchidwind.promoted.core.group_state import GroupState
+from orchidwind.promoted.core.read_planning import ReadPlan, ReadRequest, plan_read
 from orchidwind.promoted.core.steps import ExchangeResult
 from orchidwind.promoted.core.supervision import NOT_CONFIRMING_SECONDS
-from orchidwind.promoted.core.topology import PrimaryView, ReadPlan
+from orchidwind.promoted.core.topology import PrimaryView
 from orchidwind.promoted.group.commit_guard import CommitGuard
 from orchidwind.promoted.group.connections import GroupConnections
 from orchidwind.promoted.group.lead_prover import LeadProver, StatusTask
@@ -90,7 +91,8 @@
         self._resting = RestingConnections(self.connections, self._calls.close_resting)
         self.prover = LeadProver(self.topology, leases, self.ask_status)
         self._guard = CommitGuard(self.topology, self.prover, self.ask_status)
-        self._waiters: set[asyncio.Future[None]] = set()
+        # By arrival: a request that was woken in vain waits on in its place.
+        self._waiters: dict[object, asyncio.Future[None]] = {}
         self._tasks: set[asyncio.Task[Any]] = set()
         self._writing: set[int] = set()
         self._suspects: set[str] = set()
@@ -138,8 +140,7 @@
         self._on_wake()
 
     def _wake_waiters(self) -> None:
-        waiters, self._waiters = self._waiters, set()
-        for waiter in waiters:
+        for waiter in self._waiters.values():
             if not waiter.done():
                 waiter.set_result(None)
 
@@ -158,10 +159,12 @@
             )
         self.changed()
 
-    def entry_gone(self, instance: str, lapsed: bool = False) -> None:
-        """The directory no longer lists an instance; `lapsed`: nobody saw its entry go."""
-        self.topology.entry_gone(instance, self._loop.time(), lapsed)
-        log_event("instance_gone", group=self.settings.name, instance=instance, lapsed=lapsed)
+    def entry_gone(self, instance: str, removal_unseen: bool = False) -> None:
+        """The directory no longer lists an instance; `removal_unseen`: it may come back."""
+        self.topology.entry_gone(instance, self._loop.time(), removal_unseen)
+        log_event(
+            "instance_gone", group=self.settings.name, instance=instance, lapsed=removal_unseen
+        )
         self.changed()
 
     def trim(self) -> None:
@@ -174,13 +177,13 @@
 
     async def forget_old(self) -> None:
         """Drop what belongs to instances that left long ago, if others have their logs."""
-        if self.supervised and self.topology.to_forget(self._loop.time()):
+        if self.supervised and self.topology.confirming.some_due(self._loop.time()):
             # The primary first: what it has by then, the others must have afterwards.
             views = self.topology.instances.items()
             listed = [name for name, view in views if view.listed]
             for name in sorted(listed, key=lambda name: not self.topology.primary_term(name)):
                 await self.ask_status(name)
-        for instance in self.topology.forget_old(self._loop.time()):
+        for instance in self.topology.confirming.drop_old(self._loop.time(), self.settings):
             self._calls.drop(instance)
             self.connections.forget(instance)
 
@@ -239,6 +242,15 @@
     # --- waiting ------------------------------------------------------------------------------
 
     async def _wait_for(self, look: Callable[[], T | None], deadline: float, kind: ErrorKind) -> T:
+        request = object()
+        try:
+            return await self._wait_in_order(request, look, deadline, kind)
+        finally:
+            self._waiters.pop(request, None)
+
+    async def _wait_in_order(
+        self, request: object, look: Callable[[], T | None], deadline: float, kind: ErrorKind
+    ) -> T:
         began = self._loop.time()
         while True:
             found = look()
@@ -247,7 +259,7 @@
                 return found
             self._refuse_if(self._finding, kind, "no instance has served for long")
             waiter: asyncio.Future[None] = self._loop.create_future()
-            self._waiters.add(waiter)
+            self._waiters[request] = waiter
             self._note_used()
             self._on_wake()
             try:
@@ -256,8 +268,6 @@
             except TimeoutError as error:
                 self._finding.failed(began)
                 raise RequestError(kind, kind.value) from error
-            finally:
-                self._waiters.discard(waiter)
 
     def _refuse_if(self, breaker: CircuitBreaker, kind: ErrorKind, reason: str) -> None:
         """Raise RequestError where something that a request needs is known to fail here."""
@@ -280,12 +290,12 @@
         self, deadline: float, lead_proof: bool, commit: bool
     ) -> PrimaryView:
         """Wait for a primary; raises RequestError, at once where what it needs is known to fail."""
-        if lead_proof:
-            self._refuse_if(self._proving, ErrorKind.NO_PRIMARY, "its lead cannot be proven here")
+        if lead_proof or commit:
+            # Asked once: a probe that the first question lets through is refused by a second.
+            missing = "its lead" if lead_proof else "its commits"
+            reason = f"{missing} cannot be proven here"
+            self._refuse_if(self._proving, ErrorKind.NO_PRIMARY, reason)
         if commit:
-            self._refuse_if(
-                self._proving, ErrorKind.NO_PRIMARY, "its commits cannot be proven here"
-            )
             self._note_waited(self.oldest_write())
             self._refuse_if(self._committing, ErrorKind.NO_PRIMARY, "it confirms no commits")
         return await self._wait_for(
@@ -311,9 +321,10 @@
     ) -> ReadPlan:
         """Wait for an instance that may serve a read; raises RequestError."""
 
+        request = ReadRequest(database, session_floor, arrived_at, excluded)
+
         def look() -> ReadPlan | None:
-            now = self._loop.time()
-            return self.topology.plan_read(database, session_floor, arrived_at, now, excluded)
+            return plan_read(self.topology, request, self._loop.time())
 
         plan = await self._wait_for(look, deadline, ErrorKind.NO_REPLICA)
         if plan.proof_of_term:
@@ -517,7 +528,7 @@
         for connection, since in self.connections.in_exchange.items():
             instance = self.connections.instance_of[connection]
             view = self.topology.instances.get(instance)
-            heard_at = view.heard_at if view is not None else since
+            heard_at = view.last_answer_at if view is not None else since
             if now - since >= SILENCE_SECONDS:
                 self._check_connections(instance, since)
             if now - max(heard_at, since) > SILENCE_SECONDS:
