--- a/src/orchidwind_bench/main.py
+++ b/src/orchidwind_bench/main.py
@@ -19,7 +19,7 @@
 from orchidwind_bench.elected.loaded_run import ExperimentReport, RunOptions
 from orchidwind_bench.promoted.exploration.choices import Schedule
 from orchidwind_bench.promoted.exploration.explorer import Explorer
-from orchidwind_bench.promoted.exploration.proxy import ProductLogic
+from orchidwind_bench.promoted.exploration.surroundings import ProductLogic
 from orchidwind_bench.promoted.exploration.world import SCENARIOS, play
 from orchidwind_bench.promoted.soak.instances import InstanceTimes
 from orchidwind_bench.promoted.soak.run import read_plan
--- a/src/orchidwind_bench/promoted/exploration/explorer.py
+++ b/src/orchidwind_bench/promoted/exploration/explorer.py
@@ -22,7 +22,7 @@
 
 from orchidwind_bench.promoted.exploration.checks import BrokenPromise
 from orchidwind_bench.promoted.exploration.choices import Schedule, without
-from orchidwind_bench.promoted.exploration.proxy import ProductLogic
+from orchidwind_bench.promoted.exploration.surroundings import ProductLogic
 from orchidwind_bench.promoted.exploration.world import SCENARIOS, RunResult, play
 
 
--- /dev/null
+++ b/src/orchidwind_bench/promoted/exploration/proxy_calls.py
@@ -0,0 +1,92 @@
+"""Calls of a proxy of the model to instances, whose answers go into its topology.
+
+Owns the shared status query; relies on the proxy's views and on the model's instances.
+"""
+
+from __future__ import annotations
+
+from dataclasses import replace
+
+from orchidwind_bench.promoted.exploration.instance_calls import InstanceOperation
+from orchidwind_bench.promoted.exploration.performer import Statuses
+from orchidwind_bench.promoted.exploration.proxy_views import ProxyViews
+from orchidwind_bench.promoted.exploration.shared_query import ModelSharedQuery
+from orchidwind_bench.promoted.exploration.surroundings import ProxyLife, Surroundings
+from orchidwind_bench.promoted.exploration.timeline import Answers, Process
+
+# How long a proxy waits for an instance's answer, and less for one that is not expected to answer,
+# in seconds; as in the product's status calls.
+ASK_SECONDS = 0.2
+HURRIED_SECONDS = 0.07
+# Instances that left long ago are looked for every so many seconds; chosen.
+FORGET_SECONDS = 5.0
+
+
+class ProxyCalls:
+    """One proxy's calls to instances."""
+
+    def __init__(self, life: ProxyLife, around: Surroundings, views: ProxyViews) -> None:
+        self._life = life
+        self._around = around
+        self._views = views
+        self.topology = views.topology
+        self._query = ModelSharedQuery(self.ask, self._other_listed)
+
+    def call_all(
+        self, instances: tuple[str, ...], name: str, operation: InstanceOperation, hurried: bool
+    ) -> Process[Statuses]:
+        """Call instances at the same time; what those that answered told."""
+        sent_at = self._life.now()
+        patience = max((self._patience(item, hurried) for item in instances), default=0.0)
+        answers = Answers(set(instances), sent_at + patience)
+        for instance in instances:
+            self._around.calls.send(self._life.name, instance, name, operation, answers)
+        yield answers
+        statuses: Statuses = {}
+        for instance in instances:
+            status = answers.got.get(instance)
+            if status is None:
+                self.topology.unreachable(instance, self._life.now())
+                continue
+            statuses[instance] = replace(status, asked_at=sent_at)
+            self.topology.take_status(statuses[instance])
+        return statuses
+
+    def _patience(self, instance: str, hurried: bool) -> float:
+        view = self.topology.instances.get(instance)
+        silent = view is not None and view.unreachable_since is not None
+        return HURRIED_SECONDS if hurried and silent else ASK_SECONDS
+
+    def ask(self, instances: tuple[str, ...]) -> Process[Statuses]:
+        """Ask instances for their statuses."""
+        return self.call_all(instances, "status", _nothing, hurried=False)
+
+    def ask_other_listed(self) -> Process[Statuses]:
+        """The statuses of all listed instances but the primary; others share the query."""
+        return self._query.join(self._around.timeline, self._life)
+
+    def _other_listed(self) -> tuple[str, ...]:
+        primary = self.topology.primary(self._life.now())
+        led = primary.instance if primary is not None else ""
+        views = self.topology.instances
+        return tuple(
+            name
+            for name in self._views.listed()
+            if name != led and views[name].unreachable_since is None
+        )
+
+    def forget(self) -> Process[None]:
+        """Drop who left long ago, once the others were asked what they hold; the primary first."""
+        while True:
+            yield FORGET_SECONDS
+            topology = self.topology
+            if topology.confirming.some_due(self._life.now()):
+                for name in sorted(
+                    self._views.listed(), key=lambda item: not topology.primary_term(item)
+                ):
+                    yield from self.ask((name,))
+            topology.confirming.drop_old(self._life.now(), topology.settings)
+
+
+def _nothing(instance: object) -> None:
+    """A status call changes nothing."""
--- a/src/orchidwind_bench/promoted/exploration/shared_query.py
+++ b/src/orchidwind_bench/promoted/exploration/shared_query.py
@@ -13,7 +13,7 @@
 _Statuses = dict[str, InstanceStatus]
 
 
-class SharedQuery:
+class ModelSharedQuery:
     """At most one query is under way; whoever comes meanwhile shares the next one."""
 
     def __init__(
--- a/tests/promoted/test_exploration.py
+++ b/tests/promoted/test_exploration.py
@@ -24,7 +24,7 @@
 from orchidwind_bench.promoted.exploration.checks import BrokenPromise
 from orchidwind_bench.promoted.exploration.choices import Schedule
 from orchidwind_bench.promoted.exploration.explorer import Explorer
-from orchidwind_bench.promoted.exploration.proxy import ProductLogic
+from orchidwind_bench.promoted.exploration.surroundings import ProductLogic
 from orchidwind_bench.promoted.exploration.world import SCENARIOS, play
 
 PRODUCT = ProductLogic()
