--- a/src/orchidwind_bench/main.py
+++ b/src/orchidwind_bench/main.py
@@ -196,7 +196,7 @@
     report = explorer.by_chance(range(first_seed, first_seed + seeds))
     for finding in report.findings:
         seed = finding.first_found.seed
-        print(f"broken {finding.promise.name}: {finding.told}")
+        print(f"broken {finding.promise.name}: {finding.text}")
         print(f"  {finding.schedule.scenario} {dict(finding.schedule.deviations)}, seed {seed}")
         trace = play(finding.schedule, ProductLogic(), traced=True).trace
         print("\n".join(f"  {line}" for line in trace))
--- a/src/orchidwind_bench/promoted/exploration/instance_calls.py
+++ b/src/orchidwind_bench/promoted/exploration/instance_calls.py
@@ -84,7 +84,7 @@
             operation(target)
             status = target.status(self._group.positions)
             if before != status:
-                self._trace.note(f"{name} of {proxy} (sent {sent_at:.3f}): {told(status)}")
+                self._trace.note(f"{name} of {proxy} (sent {sent_at:.3f}): {status_text(status)}")
             if fate is not Fate.ANSWER_LOST:
                 self._timeline.after(WAY_SECONDS, lambda: self._back(proxy, status, answers))
 
@@ -95,7 +95,7 @@
             answers.deliver(status.instance, status)
 
 
-def told(status: InstanceStatus) -> str:
+def status_text(status: InstanceStatus) -> str:
     """A status in a few letters: name, role, term, end of its log, fence."""
     return (
         f"{status.instance} {status.role.value} term {status.term}"
--- a/src/orchidwind_bench/promoted/exploration/performer.py
+++ b/src/orchidwind_bench/promoted/exploration/performer.py
@@ -58,12 +58,12 @@
         """Give it back."""
 
     def wait_for_others(self, token: int, taken_at: float) -> Process[AcknowledgedCommits | None]:
-        """Wait until no proxy relies on the old primary; what all have told, if they say it."""
+        """Wait until no proxy relies on the old primary; what all have acknowledged, if known."""
 
     def call_all(
         self, instances: tuple[str, ...], name: str, operation: InstanceOperation, hurried: bool
     ) -> Process[Statuses]:
-        """Call instances; what those that answered told."""
+        """Call instances; the statuses of those that answered."""
 
     def promote(self, instance: str, token: int) -> Process[PromotionAnswer]:
         """Call the platform."""
--- a/src/orchidwind_bench/promoted/exploration/proxy_calls.py
+++ b/src/orchidwind_bench/promoted/exploration/proxy_calls.py
@@ -35,7 +35,7 @@
     def call_all(
         self, instances: tuple[str, ...], name: str, operation: InstanceOperation, hurried: bool
     ) -> Process[Statuses]:
-        """Call instances at the same time; what those that answered told."""
+        """Call instances at the same time; the statuses of those that answered."""
         sent_at = self._life.now()
         patience = max((self._patience(item, hurried) for item in instances), default=0.0)
         answers = Answers(set(instances), sent_at + patience)
--- a/src/orchidwind_bench/promoted/exploration/store.py
+++ b/src/orchidwind_bench/promoted/exploration/store.py
@@ -82,7 +82,7 @@
         self.roster: Roster | None = None
         self.leases: dict[str, LeaseConfirmation] = {}
         self._watchers: dict[str, Callable[[], None]] = {}
-        self._told: set[str] = set()
+        self._notified: set[str] = set()
 
     def reaches(self, proxy: str) -> bool:
         """Whether a proxy reaches the store now."""
@@ -144,18 +144,18 @@
     def changed(self) -> None:
         """Something has changed: watches tell of it."""
         for proxy in list(self._watchers):
-            if proxy in self._told:
+            if proxy in self._notified:
                 continue
-            self._told.add(proxy)
+            self._notified.add(proxy)
             when = self._choices.pick("watch", proxy, tuple(WATCH_SECONDS))
             self._timeline.after(WATCH_SECONDS[when], partial(self._notify, proxy))
 
     def _notify(self, proxy: str) -> None:
-        self._told.discard(proxy)
+        self._notified.discard(proxy)
         if self.reaches(proxy):
             self._watchers[proxy]()
         else:
-            self._told.add(proxy)
+            self._notified.add(proxy)
             self._timeline.after(WATCH_AGAIN_SECONDS, lambda: self._notify(proxy))
 
     # --- calls --------------------------------------------------------------------------------
