--- a/tests/promoted/soak/test_soak.py
+++ b/tests/promoted/soak/test_soak.py
@@ -8,7 +8,8 @@
 from orchidwind_bench.promoted.soak import system as soak_system
 from orchidwind_bench.promoted.soak.callers import Record
 from orchidwind_bench.promoted.soak.configuration import ProbeAnswer, broken_promise
-from orchidwind_bench.promoted.soak.faults import FAULTS, PlannedFault, draw_schedule
+from orchidwind_bench.promoted.soak.faults import FAULTS, draw_schedule
+from orchidwind_bench.promoted.soak.planned_fault import PlannedFault
 from orchidwind_bench.promoted.soak.promises import GroupHistory, check_group, check_tokens
 from orchidwind_bench.promoted.soak.run import soak
 from orchidwind_bench.promoted.soak.system import SoakSizes, SoakSystem
