--- a/src/orchidwind_bench/elected/simulation/system.py
+++ b/src/orchidwind_bench/elected/simulation/system.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from itertools import count
 
-from orchidwind.elected.core.link_loss import after_link_loss
+from orchidwind.elected.core.retries import after_link_loss
 from orchidwind.elected.core.statements import Outcome, StatementRequest
 from orchidwind.shared.core.errors import ErrorKind, RequestError
 from orchidwind_bench.elected.checkers import History
