--- a/src/orchidwind/elected/core/statements.py
+++ b/src/orchidwind/elected/core/statements.py
@@ -146,8 +146,7 @@
 class RunResult:
     """What a back end answered to one statement.
 
-    `delivered` tells whether any part of the answer went on to the caller. `tag_held`,
-    `columns_sent` and `chunk_tag` belong to the connection that fills the result.
+    `delivered` tells whether any part of the answer went on to the caller.
     """
 
     tag: str = ""
@@ -156,6 +155,3 @@
     first_row: tuple[bytes | None, ...] = ()
     delivered: bool = False
     description: Description | None = None
-    tag_held: bool = False
-    columns_sent: bool = False
-    chunk_tag: str = ""
--- a/src/orchidwind/elected/daemon.py
+++ b/src/orchidwind/elected/daemon.py
@@ -9,7 +9,8 @@
 from orchidwind.elected.metrics import Metrics
 from orchidwind.elected.network import operator_http
 from orchidwind.elected.network.cluster import Cluster
-from orchidwind.elected.network.front import FrontExecutor, FrontService
+from orchidwind.elected.network.front import FrontService
+from orchidwind.elected.network.front_session import FrontExecutor
 from orchidwind.elected.network.group_runner import GroupRunner
 from orchidwind.elected.network.home_service import HomeService
 from orchidwind.elected.network.link_server import LinkServer
--- a/src/orchidwind/elected/network/backend.py
+++ b/src/orchidwind/elected/network/backend.py
@@ -1,35 +1,25 @@
 """One connection to a database instance: libpq, non-blocking, on the event loop.
 
-Values pass through as the raw bytes of the result. Large results are taken in chunks, so that
-memory stays flat.
+Owns the socket, and the order of sending and reading; `backend_answer.py` reads the parts. Values
+pass through as the raw bytes of the result. Large results are taken in chunks, so that memory stays
+flat.
 """
 
 from __future__ import annotations
 
 import asyncio
 import contextlib
-from abc import ABC, abstractmethod
 from collections.abc import Callable
-from dataclasses import dataclass
 
 import psycopg
 from psycopg import pq
 from psycopg.pq.abc import PGconn, PGresult
 
-from orchidwind.elected.core.statements import Column, Description, RunResult, Statement
-from orchidwind.elected.postgres.wire import codec
-from orchidwind.shared.core.errors import (
-    BackendConnectionLost,
-    BackendRefused,
-    ErrorKind,
-    RequestError,
-)
-from orchidwind.shared.sockets import (
-    KEEPALIVE_IDLE_SECONDS,
-    KEEPALIVE_INTERVAL_SECONDS,
-    KEEPALIVE_PROBES,
-    USER_TIMEOUT_MILLISECONDS,
-)
+from orchidwind.elected.core.statements import RunResult, Statement
+from orchidwind.elected.network.answer_port import AnswerPort
+from orchidwind.elected.network.backend_answer import AnswerReader, description_of, error_of
+from orchidwind.elected.network.connection_target import ConnectionTarget
+from orchidwind.shared.core.errors import BackendConnectionLost, BackendRefused
 
 # Chosen: rows of a result that libpq holds at once.
 _ROWS_A_CHUNK = 256
@@ -40,69 +30,12 @@
     pq.TransactionStatus.INERROR: b"E",
     pq.TransactionStatus.UNKNOWN: b"E",
 }
-_ROW_STATUSES = (pq.ExecStatus.TUPLES_OK, pq.ExecStatus.TUPLES_CHUNK)
 _COPY_STATUSES = (pq.ExecStatus.COPY_IN, pq.ExecStatus.COPY_OUT, pq.ExecStatus.COPY_BOTH)
 _TOO_MANY_CONNECTIONS = "53300"
 # libpq gives no SQLSTATE of a refused connection, so the server's words must do.
 _LIMIT_WORDS = ("too many clients", "connection slots", "too many connections")
 
 
-class AnswerPort(ABC):
-    """Where the rows of an answer go while it runs."""
-
-    @abstractmethod
-    async def columns(self, columns: tuple[Column, ...]) -> None:
-        """The columns of a result."""
-
-    @abstractmethod
-    async def rows(self, encoded: bytes, count: int) -> None:
-        """Encoded rows; returns when more may come."""
-
-    @abstractmethod
-    async def tag(self, command_tag: str) -> None:
-        """A statement before the last of a query string ended."""
-
-    @abstractmethod
-    def still_running(self) -> None:
-        """The statement runs past its deadline, and is let run."""
-
-
-@dataclass(frozen=True, slots=True)
-class ConnectionTarget:
-    """Where and as whom to connect."""
-
-    host: str
-    port: int
-    database: str
-    user: str
-    password: str
-    application_name: str
-
-    def conninfo(self) -> bytes:
-        """The connection string of libpq."""
-        fields = {
-            "hostaddr": self.host,
-            "port": str(self.port),
-            "dbname": self.database,
-            "user": self.user,
-            "password": self.password,
-            "application_name": self.application_name,
-            "sslmode": "disable",
-            "gssencmode": "disable",
-            "client_encoding": "UTF8",
-            "keepalives": "1",
-            "keepalives_idle": str(KEEPALIVE_IDLE_SECONDS),
-            "keepalives_interval": str(KEEPALIVE_INTERVAL_SECONDS),
-            "keepalives_count": str(KEEPALIVE_PROBES),
-            "tcp_user_timeout": str(USER_TIMEOUT_MILLISECONDS),
-        }
-        return " ".join(f"{name}='{_escape(value)}'" for name, value in fields.items()).encode()
-
-
-def _escape(value: str) -> str:
-    return value.replace("\\", "\\\\").replace("'", "\\'")
-
-
 class BackendConnection:
     """An open connection; runs one statement at a time."""
 
@@ -152,34 +85,34 @@
     async def run(self, statement: Statement, port: AnswerPort | None) -> RunResult:
         """Run a statement and pass its rows on; raises BackendConnectionLost."""
         self._send(statement)
-        result = RunResult()
+        answer = AnswerReader(port)
         try:
             while (part := await self._next_result()) is not None:
-                await self._take_part(part, result, port)
+                self._refuse_copy(part)
+                await answer.take(part)
                 part.clear()
         except BackendConnectionLost as lost:
-            lost.delivered = result.delivered
+            lost.delivered = answer.result.delivered
             raise
-        result.transaction_status = _STATUS_BYTES[
-            pq.TransactionStatus(self._connection.transaction_status)
-        ]
-        return result
+        answer.result.transaction_status = self._transaction_status()
+        return answer.result
 
     async def prepare(self, name: bytes, sql: str) -> None:
         """Prepare a statement under a name; raises BackendRefused where it is wrong."""
         self._start(lambda: self._connection.send_prepare(name, sql.encode()))
         while (part := await self._next_result()) is not None:
-            error = self._error(part)
+            error = error_of(part)
             if error is not None:
                 raise BackendRefused(error.message, error.sqlstate)
 
     async def run_prepared(self, name: bytes) -> RunResult:
         """Run a prepared statement without parameters and keep its first row."""
         self._start(lambda: self._connection.send_query_prepared(name, None))
-        result = RunResult()
+        answer = AnswerReader(None)
         while (part := await self._next_result()) is not None:
-            await self._take_part(part, result, None)
-        return result
+            self._refuse_copy(part)
+            await answer.take(part)
+        return answer.result
 
     async def describe(self, statement: Statement) -> RunResult:
         """Tell the types of a statement, by the unnamed prepared statement."""
@@ -190,15 +123,13 @@
             )
         )
         while (part := await self._next_result()) is not None:
-            result.error = result.error or self._error(part)
+            result.error = result.error or error_of(part)
         if result.error is None:
             self._start(lambda: self._connection.send_describe_prepared(b""))
             while (part := await self._next_result()) is not None:
-                result.error = result.error or self._error(part)
-                result.description = _description(part)
-        result.transaction_status = _STATUS_BYTES[
-            pq.TransactionStatus(self._connection.transaction_status)
-        ]
+                result.error = result.error or error_of(part)
+                result.description = description_of(part)
+        result.transaction_status = self._transaction_status()
         return result
 
     async def cancel(self) -> None:
@@ -215,6 +146,15 @@
         finally:
             request.finish()
 
+    def _transaction_status(self) -> bytes:
+        return _STATUS_BYTES[pq.TransactionStatus(self._connection.transaction_status)]
+
+    def _refuse_copy(self, part: PGresult) -> None:
+        """A connection in COPY can't be brought back to rest: close it."""
+        if part.status in _COPY_STATUSES:
+            self.close()
+            raise BackendConnectionLost("COPY is not supported", sent=True)
+
     def _send(self, statement: Statement) -> None:
         sql = statement.sql.encode()
         if statement.simple:
@@ -288,90 +228,6 @@
             self.close()
             self._on_lost()
 
-    async def _take_part(self, part: PGresult, result: RunResult, port: AnswerPort | None) -> None:
-        if part.status in _COPY_STATUSES:
-            self.close()
-            raise BackendConnectionLost("COPY is not supported", sent=True)
-        error = self._error(part)
-        if error is not None:
-            result.error = result.error or error
-            return
-        if part.status in _ROW_STATUSES:
-            await self._take_rows(part, result, port)
-        # libpq puts the tag on whichever part it had in hand when CommandComplete came.
-        tag = (part.command_status or b"").decode()
-        if part.status == pq.ExecStatus.TUPLES_CHUNK:
-            result.chunk_tag = tag or result.chunk_tag
-            return
-        await self._take_tag(tag or result.chunk_tag, result, port)
-        result.chunk_tag = ""
-
-    async def _take_tag(self, tag: str, result: RunResult, port: AnswerPort | None) -> None:
-        """Hold the newest tag back: the caller sees the last one only once the outcome is known."""
-        await self._pass_held_tag(result, port)
-        result.tag = tag
-        result.tag_held = True
-
-    async def _pass_held_tag(self, result: RunResult, port: AnswerPort | None) -> None:
-        if result.tag_held and port is not None:
-            result.delivered = True
-            await port.tag(result.tag)
-        result.tag_held = False
-
-    async def _take_rows(self, part: PGresult, result: RunResult, port: AnswerPort | None) -> None:
-        if port is None:
-            if part.ntuples and not result.first_row:
-                result.first_row = tuple(_row_values(part, 0))
-            return
-        result.delivered = True
-        if not result.columns_sent:
-            await self._pass_held_tag(result, port)
-            await port.columns(_columns(part))
-        result.columns_sent = part.status == pq.ExecStatus.TUPLES_CHUNK
-        if part.ntuples:
-            rows = (codec.make_data_row(_row_values(part, row)) for row in range(part.ntuples))
-            await port.rows(b"".join(rows), part.ntuples)
-
-    def _error(self, part: PGresult) -> RequestError | None:
-        if part.status not in (pq.ExecStatus.FATAL_ERROR, pq.ExecStatus.BAD_RESPONSE):
-            return None
-        return _request_error(part)
-
-
-def _row_values(part: PGresult, row: int) -> list[bytes | None]:
-    return [part.get_value(row, column) for column in range(part.nfields)]
-
-
-def _columns(part: PGresult) -> tuple[Column, ...]:
-    return tuple(
-        Column(
-            (part.fname(index) or b"").decode(),
-            part.ftype(index),
-            part.fsize(index),
-            part.fmod(index),
-            part.ftable(index),
-            part.ftablecol(index),
-        )
-        for index in range(part.nfields)
-    )
-
-
-def _description(part: PGresult) -> Description:
-    types = tuple(part.param_type(index) for index in range(part.nparams))
-    return Description(types, _columns(part))
-
-
-def _request_error(part: PGresult) -> RequestError:
-    def read(name: pq.DiagnosticField) -> str:
-        return (part.error_field(name) or b"").decode(errors="replace")
-
-    return RequestError(
-        ErrorKind.STATEMENT_FAILED,
-        read(pq.DiagnosticField.MESSAGE_PRIMARY) or part.error_message.decode(errors="replace"),
-        sqlstate=read(pq.DiagnosticField.SQLSTATE) or None,
-        detail=read(pq.DiagnosticField.MESSAGE_DETAIL),
-    )
-
 
 async def _poll_until_done(connection: PGconn) -> None:
     while True:
--- a/src/orchidwind/elected/network/backend_state.py
+++ b/src/orchidwind/elected/network/backend_state.py
@@ -9,7 +9,8 @@
 import asyncio
 
 from orchidwind.elected.core.statements import Statement
-from orchidwind.elected.network.backend import BackendConnection, ConnectionTarget
+from orchidwind.elected.network.backend import BackendConnection
+from orchidwind.elected.network.connection_target import ConnectionTarget
 from orchidwind.shared.core.errors import BackendRefused
 
 # As long as any new connection to an instance (`instance_targets.py`).
--- a/src/orchidwind/elected/network/group_runner.py
+++ b/src/orchidwind/elected/network/group_runner.py
@@ -27,7 +27,7 @@
 from orchidwind.elected.core.routing import RoutingSettings
 from orchidwind.elected.core.slot_leases import LeaseAnswer, SlotLeases
 from orchidwind.elected.core.statements import ChannelKey, Outcome, RunResult, StatementRequest
-from orchidwind.elected.network.backend import AnswerPort
+from orchidwind.elected.network.answer_port import AnswerPort
 from orchidwind.elected.network.background_tasks import BackgroundTasks
 from orchidwind.elected.network.instance_connections import InstanceConnections
 from orchidwind.elected.network.instance_targets import InstanceTargets
--- a/src/orchidwind/elected/network/home_service.py
+++ b/src/orchidwind/elected/network/home_service.py
@@ -9,7 +9,7 @@
 from orchidwind.elected.core.placement import Node, Placement
 from orchidwind.elected.core.slot_leases import LeaseAnswer
 from orchidwind.elected.core.statements import ChannelKey, Outcome, StatementRequest
-from orchidwind.elected.network.backend import AnswerPort
+from orchidwind.elected.network.answer_port import AnswerPort
 from orchidwind.elected.network.group_runner import GroupRunner, OnFinished
 from orchidwind.elected.network.slot_lending import LeasePort
 from orchidwind.shared.core.errors import ErrorKind, RequestError
--- a/src/orchidwind/elected/network/instance_connections.py
+++ b/src/orchidwind/elected/network/instance_connections.py
@@ -13,7 +13,8 @@
 
 from orchidwind.elected.core.group_effects import RunOnConnection
 from orchidwind.elected.core.statements import Column, RunResult
-from orchidwind.elected.network.backend import AnswerPort, BackendConnection
+from orchidwind.elected.network.answer_port import AnswerPort
+from orchidwind.elected.network.backend import BackendConnection
 from orchidwind.elected.network.backend_state import still_runs
 from orchidwind.elected.network.background_tasks import BackgroundTasks
 from orchidwind.elected.network.instance_targets import INSTANCE_CONNECT_SECONDS, InstanceTargets
--- a/src/orchidwind/elected/network/instance_targets.py
+++ b/src/orchidwind/elected/network/instance_targets.py
@@ -6,7 +6,7 @@
 from __future__ import annotations
 
 from orchidwind.elected.core.configuration import DatabaseSettings
-from orchidwind.elected.network.backend import ConnectionTarget
+from orchidwind.elected.network.connection_target import ConnectionTarget
 
 # Chosen: a new connection to an instance, with its login, in seconds.
 INSTANCE_CONNECT_SECONDS = 2.0
--- a/src/orchidwind/elected/network/link_server.py
+++ b/src/orchidwind/elected/network/link_server.py
@@ -16,7 +16,7 @@
 
 from orchidwind.elected.core.statements import ChannelKey, Column, Outcome
 from orchidwind.elected.network import codec
-from orchidwind.elected.network.backend import AnswerPort
+from orchidwind.elected.network.answer_port import AnswerPort
 from orchidwind.elected.network.frame_stream import LINK_BUFFER_BYTES, FrameStream
 from orchidwind.elected.network.home_service import HomeService
 from orchidwind.elected.network.link_messages import from_execute, to_answer, to_records
--- a/src/orchidwind/elected/network/observer.py
+++ b/src/orchidwind/elected/network/observer.py
@@ -4,7 +4,8 @@
 
 from dataclasses import dataclass
 
-from orchidwind.elected.network.backend import BackendConnection, ConnectionTarget
+from orchidwind.elected.network.backend import BackendConnection
+from orchidwind.elected.network.connection_target import ConnectionTarget
 from orchidwind.shared.core.errors import BackendRefused
 from orchidwind.shared.core.positions import Position, parse_lsn
 
--- a/tests/elected/test_silent_backends.py
+++ b/tests/elected/test_silent_backends.py
@@ -17,7 +17,7 @@
     Statement,
     StatementRequest,
 )
-from orchidwind.elected.network.backend import AnswerPort
+from orchidwind.elected.network.answer_port import AnswerPort
 from orchidwind.elected.network.group_runner import GroupRunner
 from orchidwind.elected.network.observer import STATUS_QUERY
 from orchidwind.elected.postgres.executor import Description, Executor
--- a/tests/elected/test_silent_edge.py
+++ b/tests/elected/test_silent_edge.py
@@ -8,7 +8,7 @@
 
 from orchidwind.elected.core.statements import Outcome
 from orchidwind.elected.network import codec, link_silence
-from orchidwind.elected.network.backend import ConnectionTarget
+from orchidwind.elected.network.connection_target import ConnectionTarget
 from orchidwind.elected.network.link_server import LinkServer
 from orchidwind.elected.network.peer_link import PeerLink
 from orchidwind.elected.postgres.listener import PostgresListener
