--- a/src/orchidwind/elected/core/flows.py
+++ b/src/orchidwind/elected/core/flows.py
@@ -2,7 +2,7 @@
 
 A flow yields a step and is sent the step's result, or has an error thrown in. It returns the
 outcome, or raises RequestError. `HomeGroup` drives the flows; what a flow has in its hands when an
-error reaches it decides what the caller may be told:
+error reaches it decides what the caller gets as an answer:
 
 - before the first byte left for a back end, the request did not run;
 - after a write left, its outcome is unknown until a majority is seen to hold it;
--- a/src/orchidwind/elected/core/group_effects.py
+++ b/src/orchidwind/elected/core/group_effects.py
@@ -67,7 +67,7 @@
 class StillRunning:
     """A statement runs past its deadline on an instance that answers: the caller may wait on.
 
-    The driver may look whether the database runs it; `connection_lost` where it does not.
+    The driver may ask the database whether it runs; `connection_lost` where it does not.
     """
 
     number: int
--- a/src/orchidwind/elected/core/retries.py
+++ b/src/orchidwind/elected/core/retries.py
@@ -107,7 +107,7 @@
 
 
 def retry_home(now: float, expires_at: float) -> bool:
-    """Whether time is left to look for a home and send the request once more."""
+    """Whether time is left to find a home and send the request once more."""
     return now + HOME_RETRY_SECONDS < expires_at
 
 
--- a/src/orchidwind/elected/daemon.py
+++ b/src/orchidwind/elected/daemon.py
@@ -131,7 +131,7 @@
     async def _finish_work(self) -> None:
         """Stop in an order that cuts nothing.
 
-        First the others are told, so that their new requests go elsewhere; only then does this
+        First the others learn of it, so that their new requests go elsewhere; only then does this
         node stop taking requests as home, and those that come late are sent back untouched. Callers
         are served, through the new homes, while they leave by themselves; those that stay are
         closed between transactions.
--- a/src/orchidwind/elected/network/backend.py
+++ b/src/orchidwind/elected/network/backend.py
@@ -47,7 +47,7 @@
         self._readable: asyncio.Future[None] | None = None
         self._closed = False
         # When the socket was last readable, and opened; steady clock, seconds.
-        self.opened_at = self.heard_at = self._loop.time()
+        self.opened_at = self.last_bytes_at = self._loop.time()
         self._loop.add_reader(self._socket, self._on_readable)
 
     @classmethod
@@ -211,7 +211,7 @@
             self._readable = None
 
     def _on_readable(self) -> None:
-        self.heard_at = self._loop.time()
+        self.last_bytes_at = self._loop.time()
         if self._readable is not None:
             if not self._readable.done():
                 self._readable.set_result(None)
--- a/src/orchidwind/elected/network/cluster.py
+++ b/src/orchidwind/elected/network/cluster.py
@@ -121,7 +121,7 @@
         return self.history.current.content if self.history.current else None
 
     def on_platform(self, document: ConfigurationDocument) -> None:
-        """The platform told a configuration."""
+        """The object API brought a configuration."""
         self._take(self.history.on_platform(document))
 
     def reply(self) -> codec.ConfigurationReply | None:
--- a/src/orchidwind/elected/network/front.py
+++ b/src/orchidwind/elected/network/front.py
@@ -27,7 +27,7 @@
 _CONFIRM_GRACE_SECONDS = 2.5
 # The origin of channels whose home is in the same process.
 LOCAL_ORIGIN = "local"
-# Chosen: a quarter of the window of `link_server.py`, so that an answer flows without a stop.
+# Chosen: a quarter of the window of `link_answer.py`, so that an answer flows without a stop.
 _CREDIT_BYTES = 128 * 1024
 
 
--- a/src/orchidwind/elected/network/instance_connections.py
+++ b/src/orchidwind/elected/network/instance_connections.py
@@ -183,7 +183,7 @@
         if connection is None or instance is None or instance in self._asked_for_backends:
             return
         self._asked_for_backends.add(instance)
-        last_bytes_at = connection.heard_at
+        last_bytes_at = connection.last_bytes_at
         try:
             if await still_runs(self._targets.for_status(instance), connection.backend):
                 return
@@ -193,7 +193,7 @@
         finally:
             self._asked_for_backends.discard(instance)
         await asyncio.sleep(_ANSWER_ON_ITS_WAY_SECONDS)
-        if self._open.get(number) is connection and connection.heard_at == last_bytes_at:
+        if self._open.get(number) is connection and connection.last_bytes_at == last_bytes_at:
             self._found_silent(instance, number, connection)
 
     def _found_silent(self, instance: str, number: int, connection: BackendConnection) -> None:
@@ -204,7 +204,7 @@
                 ConnectionKind.INSTANCE_RUNNING,
                 instance,
                 now - connection.opened_at,
-                now - connection.heard_at,
+                now - connection.last_bytes_at,
                 1,
                 "it is closed, and so are those at rest",
                 self._targets.database.name,
--- /dev/null
+++ b/src/orchidwind/elected/network/link_session.py
@@ -0,0 +1,108 @@
+"""One link at the home's side: what another proxy asks of this one, message by message.
+
+Owns the channels and the answers of that proxy's callers, which end with the link.
+"""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+
+from tornado.iostream import IOStream
+
+from orchidwind.elected.core.statements import ChannelKey, Outcome
+from orchidwind.elected.network import codec
+from orchidwind.elected.network.frame_stream import FrameStream
+from orchidwind.elected.network.home_service import HomeService
+from orchidwind.elected.network.link_answer import LinkAnswerPort
+from orchidwind.elected.network.link_messages import from_execute, to_answer
+
+
+class LinkSession:
+    """The state of one link at the home's side."""
+
+    def __init__(
+        self,
+        stream: IOStream,
+        homes: HomeService,
+        configuration: Callable[[], codec.ConfigurationReply | None],
+        serial: int,
+        on_greeting: Callable[[LinkSession], None],
+    ) -> None:
+        self.peer = ""
+        self._on_greeting = on_greeting
+        self._stream = stream
+        self._homes = homes
+        self._configuration = configuration
+        self._origin = f"link-{serial}"
+        self._channels: set[int] = set()
+        self._ports: dict[int, LinkAnswerPort] = {}
+        self._loop = asyncio.get_running_loop()
+
+    async def run(self) -> None:
+        """Read messages until the link ends."""
+        frames = FrameStream(self._stream)
+        hello = await frames.next()
+        if not isinstance(hello, codec.Hello):
+            raise codec.DecodeError("a link begins with Hello")
+        self.peer = hello.node
+        self._origin = f"{hello.node}/{self._origin}"
+        self._on_greeting(self)
+        while True:
+            self._take(await frames.next())
+
+    @property
+    def channels(self) -> int:
+        """How many callers have had work here."""
+        return len(self._channels)
+
+    def cut(self) -> None:
+        """End the link from here."""
+        self._stream.close()
+
+    def end(self) -> None:
+        """The link is gone, and so are its callers."""
+        for port in self._ports.values():
+            port.release()
+        for channel in self._channels:
+            self._homes.close_channel(ChannelKey(self._origin, channel))
+
+    def _take(self, message: codec.LinkMessage) -> None:
+        if isinstance(message, codec.Execute):
+            self._execute(message)
+        elif isinstance(message, codec.Credit):
+            port = self._ports.get(message.number)
+            if port is not None:
+                port.credit(message.count)
+        elif isinstance(message, codec.Cancel):
+            self._homes.cancel(ChannelKey(self._origin, message.channel))
+        elif isinstance(message, codec.CloseChannel):
+            self._channels.discard(message.channel)
+            self._homes.close_channel(ChannelKey(self._origin, message.channel))
+        elif isinstance(message, codec.LinkProbe):
+            self._stream.write(codec.encode_frame(codec.LinkAlive()))
+        elif isinstance(message, codec.LeaseAsk):
+            self._lend(message)
+        elif isinstance(message, codec.ConfigurationRequest):
+            reply = self._configuration()
+            if reply is not None and reply.version > message.version:
+                self._stream.write(codec.encode_frame(reply))
+
+    def _lend(self, message: codec.LeaseAsk) -> None:
+        answer = self._homes.lend(message.database, self.peer, message.wanted)
+        if answer is not None:
+            reply = codec.LeaseReply(message.database, answer.slots, answer.number, answer.duration)
+            self._stream.write(codec.encode_frame(reply))
+
+    def _execute(self, message: codec.Execute) -> None:
+        self._channels.add(message.channel)
+        port = LinkAnswerPort(self._stream, message.number)
+        self._ports[message.number] = port
+        number = next(self._homes.numbers)
+        request = from_execute(message, self._origin, number, self._loop.time())
+
+        def finished(outcome: Outcome) -> None:
+            self._ports.pop(message.number, None)
+            port.finish(to_answer(outcome, message.number))
+
+        self._homes.submit(request, port, finished)
--- a/src/orchidwind/elected/network/link_silence.py
+++ b/src/orchidwind/elected/network/link_silence.py
@@ -32,26 +32,26 @@
 
 
 class LinkSilence:
-    """The silence of one open link. `give_up` is told its age and its silence, in seconds."""
+    """The silence of one open link. `give_up` gets its age and its silence, in seconds."""
 
     def __init__(self, actions: LinkActions) -> None:
         self._actions = actions
         self._loop = asyncio.get_running_loop()
-        self._opened_at = self._used_at = self._heard_at = self._loop.time()
-        # Since when the other side owes a word; None: it owes none.
+        self._opened_at = self._used_at = self._last_bytes_at = self._loop.time()
+        # Since when an answer, or that of a probe, is due from the other side; None: none is.
         self._owed_since: float | None = None
         self._probed_at = float("-inf")
         self._timer: asyncio.TimerHandle | None = None
 
     def used(self) -> None:
-        """A message was sent for somebody: a word is owed for it, a probe's at least."""
+        """A message was sent for somebody: an answer is due for it, that of a probe at least."""
         self._used_at = self._loop.time()
         self._owe()
 
-    def heard(self) -> None:
-        """Bytes came."""
-        self._heard_at = self._loop.time()
-        self._owed_since = self._heard_at if self._actions.owed() else None
+    def bytes_came(self) -> None:
+        """The other side is alive: it sent something."""
+        self._last_bytes_at = self._loop.time()
+        self._owed_since = self._last_bytes_at if self._actions.owed() else None
 
     def close(self) -> None:
         """The link has ended."""
@@ -85,7 +85,7 @@
     def _check_at_rest(self, now: float) -> None:
         if now - self._used_at > _IN_USE_SECONDS:
             return
-        if now - self._heard_at >= REST_PROBE_SECONDS:
+        if now - self._last_bytes_at >= REST_PROBE_SECONDS:
             self._probe(now)
             self._owe()
         self._check_in(_CHECK_SECONDS)
--- a/src/orchidwind/elected/network/peer_link.py
+++ b/src/orchidwind/elected/network/peer_link.py
@@ -130,11 +130,11 @@
     async def _read(self, stream: IOStream) -> None:
         silence = self._silence
         assert silence is not None
-        frames = FrameStream(stream, silence.heard)
+        frames = FrameStream(stream, silence.bytes_came)
         try:
             while True:
                 self._take(await frames.next())
-                silence.heard()
+                silence.bytes_came()
         except (StreamClosedError, codec.DecodeError) as error:
             stream.close()
             silence.close()
--- a/src/orchidwind/elected/postgres/executor.py
+++ b/src/orchidwind/elected/postgres/executor.py
@@ -1,4 +1,4 @@
-"""What stands behind a server session: the interface between the protocol and its work."""
+"""What is behind a server session: the interface between the protocol and its work."""
 
 from __future__ import annotations
 
--- a/src/orchidwind/elected/postgres/output.py
+++ b/src/orchidwind/elected/postgres/output.py
@@ -1,4 +1,4 @@
-"""Writes answers to a caller: gathered in a buffer, as they come, or kept for a portal."""
+"""Writes answers to a caller: gathered in a buffer, as they come, or held for a portal."""
 
 from __future__ import annotations
 
