--- a/src/orchidwind/promoted/core/failover_steps.py
+++ b/src/orchidwind/promoted/core/failover_steps.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Generator, Mapping
+from collections.abc import Generator, Iterable, Mapping
 from dataclasses import dataclass
 from enum import Enum, unique
 
@@ -50,6 +50,13 @@
     end: Position
     known_since: int
 
+    @classmethod
+    def by_all(
+        cls, ends: Iterable[Position], first_revisions: Iterable[int]
+    ) -> AcknowledgedCommits:
+        """What all proxies reported: their ends, and the lock's revision that each saw first."""
+        return cls(max(ends, default=Position(0, 0)), max(first_revisions))
+
 
 @dataclass(frozen=True, slots=True)
 class FailoverPlan:
--- a/src/orchidwind/promoted/core/promotion_lock.py
+++ b/src/orchidwind/promoted/core/promotion_lock.py
@@ -121,3 +121,11 @@
     after a while.
     """
     return since_call < ALTERNATION_SECONDS and newest_token > called_with
+
+
+def held_by_another(holder: str, node: str, held_for: float) -> bool:
+    """Whether a proxy need not try to take the lock: another holds it, and not for too long yet.
+
+    `holder` is empty where the lock is free; `held_for`: seconds since its record last changed.
+    """
+    return holder not in ("", node) and held_for < TAKE_OVER_SECONDS
--- a/src/orchidwind/promoted/group/lease_keeper.py
+++ b/src/orchidwind/promoted/group/lease_keeper.py
@@ -13,7 +13,7 @@
 from __future__ import annotations
 
 import asyncio
-from collections.abc import Callable, Iterable
+from collections.abc import Callable, Collection
 from dataclasses import replace
 
 from orchidwind.promoted.core.failover_steps import AcknowledgedCommits
@@ -23,7 +23,7 @@
     renewal_due_in,
 )
 from orchidwind.promoted.core.peer_messages import LockReport
-from orchidwind.promoted.core.promotion_lock import TAKE_OVER_SECONDS, LockRecord
+from orchidwind.promoted.core.promotion_lock import LockRecord, held_by_another
 from orchidwind.promoted.group.lock_readings import LockReadings
 from orchidwind.promoted.peers.peer_network import LockReaders
 from orchidwind.promoted.ports import (
@@ -144,9 +144,8 @@
 
     def held_by_another(self) -> bool:
         """Whether another proxy is known to hold the promotion lock, not for too long yet."""
-        if self.holder in ("", self._node):
-            return False
-        return self._loop.time() - self._held_since < TAKE_OVER_SECONDS
+        held_for = self._loop.time() - self._held_since
+        return held_by_another(self.holder, self._node, held_for)
 
     # --- revocation ---------------------------------------------------------------------------
 
@@ -242,7 +241,8 @@
         return None if waiting else others
 
 
-def _acknowledged_by(group: str, confirmed: Iterable[LeaseConfirmation]) -> AcknowledgedCommits:
-    ends = [item.acknowledged[group] for item in confirmed if group in item.acknowledged]
-    known_since = max(item.first_revision for item in confirmed)
-    return AcknowledgedCommits(max(ends, default=Position(0, 0)), known_since)
+def _acknowledged_by(group: str, confirmed: Collection[LeaseConfirmation]) -> AcknowledgedCommits:
+    return AcknowledgedCommits.by_all(
+        [item.acknowledged[group] for item in confirmed if group in item.acknowledged],
+        [item.first_revision for item in confirmed],
+    )
