--- a/src/orchidwind/promoted/group/group_service.py
+++ b/src/orchidwind/promoted/group/group_service.py
@@ -32,7 +32,6 @@
 from orchidwind.promoted.core.steps import Exchange, ExchangeResult
 from orchidwind.promoted.core.topology import PrimaryView
 from orchidwind.promoted.group.acknowledged_commits import AcknowledgedCommits
-from orchidwind.promoted.group.background_tasks import BackgroundTasks
 from orchidwind.promoted.group.commit_guard import CommitGuard
 from orchidwind.promoted.group.connections import GroupConnections
 from orchidwind.promoted.group.exchanges import ExchangeParts, Exchanges
@@ -43,6 +42,7 @@
 from orchidwind.promoted.group.owed_answers import OwedAnswers
 from orchidwind.promoted.group.silent_connections import SilentConnections
 from orchidwind.promoted.group.status_calls import StatusCall, StatusCalls, status_query
+from orchidwind.promoted.group.task_set import TaskSet
 from orchidwind.promoted.group.view_changes import ViewChanges
 from orchidwind.promoted.group.waiting_requests import WaitingRequests
 from orchidwind.promoted.metrics import ProxyMetrics
@@ -92,7 +92,7 @@
         self._on_wake = on_wake
         self._home = False
         self._used_at = float("-inf")
-        self._tasks = BackgroundTasks()
+        self._tasks = TaskSet()
         self.state = GroupState(
             settings, environment.zone, self._loop.time, self.changed, environment.entry_outlives
         )
--- a/src/orchidwind/promoted/group/pool_driver.py
+++ b/src/orchidwind/promoted/group/pool_driver.py
@@ -14,10 +14,10 @@
 from collections.abc import Callable, Iterable
 
 from orchidwind.promoted.core.group_state import GroupState
-from orchidwind.promoted.group.background_tasks import BackgroundTasks
 from orchidwind.promoted.group.connection_opener import CONNECTION_LIMIT_MET, ConnectionOpener
 from orchidwind.promoted.group.connection_records import ConnectionRecords
 from orchidwind.promoted.group.instance_pools import InstancePools
+from orchidwind.promoted.group.task_set import TaskSet
 from orchidwind.promoted.group.waiting_grants import WaitingGrants
 from orchidwind.promoted.ports import InstanceConnector
 from orchidwind.shared.core.errors import BackendConnectionLost, BackendRefused
@@ -59,7 +59,7 @@
         self._on_suspect = on_suspect
         self._on_unreachable = on_unreachable
         self._loop = asyncio.get_running_loop()
-        self._tasks = BackgroundTasks()
+        self._tasks = TaskSet()
 
     def pool_of(self, connection: int) -> InstancePool | None:
         """The pool of an open connection; None once its instance is forgotten."""
--- a/src/orchidwind/promoted/group/silent_connections.py
+++ b/src/orchidwind/promoted/group/silent_connections.py
@@ -22,11 +22,11 @@
     resting_answer_time_left,
 )
 from orchidwind.promoted.core.topology import GroupTopology
-from orchidwind.promoted.group.background_tasks import BackgroundTasks
 from orchidwind.promoted.group.connections import GroupConnections
 from orchidwind.promoted.group.outstanding_writes import OutstandingWrites
 from orchidwind.promoted.group.resting_connections import RestingConnections
 from orchidwind.promoted.group.status_calls import StatusCalls, status_query
+from orchidwind.promoted.group.task_set import TaskSet
 from orchidwind.shared.core.errors import BackendConnectionLost, BackendRefused
 from orchidwind.shared.logs import log_event
 from orchidwind.shared.silence import ConnectionKind, OnSilent, SilentConnection
@@ -51,7 +51,7 @@
         self._calls = calls
         self._on_silent = on_silent
         self._loop = asyncio.get_running_loop()
-        self._tasks = BackgroundTasks()
+        self._tasks = TaskSet()
         self._check_pauses = InstancePauses(CONNECTION_CHECK_PAUSE_SECONDS)
         self.resting = RestingConnections(connections, self.close_silent_resting)
 
--- a/src/orchidwind/promoted/group/background_tasks.py
+++ b/src/orchidwind/promoted/group/task_set.py
@@ -1,4 +1,8 @@
-"""Tasks that nobody waits for, held until they end and cancelled together, in order of start."""
+"""Short tasks that nobody waits for.
+
+Owns: a reference to each until it ends, in the order of their start, so that all can be cancelled.
+What goes on as long as the proxy lives belongs to `promoted/background_tasks`.
+"""
 
 from __future__ import annotations
 
@@ -9,7 +13,7 @@
 Result = TypeVar("Result")
 
 
-class BackgroundTasks:
+class TaskSet:
     """Holds a reference to each task: the loop itself has only weak ones."""
 
     def __init__(self) -> None:
