--- a/src/orchidwind/commands/explain.py
+++ b/src/orchidwind/commands/explain.py
@@ -87,6 +87,7 @@
     try:
         at = datetime.fromisoformat(fields["at"])
     except ValueError:
+        # A log may hold what other programs wrote.
         return None
     return LogLine(text.strip(), fields["event"], fields.get("node", ""), at, fields)
 
@@ -115,9 +116,9 @@
 
 
 def _bears_on(other: LogLine, request: LogLine) -> bool:
-    """Whether a line tells what the request's proxy, or its home, believed of itself or its group.
+    """Whether a line shows what the request's proxy, or its home, believed of itself or its group.
 
-    Of a home only what it found silent: the rest is as the home's own log tells it.
+    Of a home only what it found silent: the rest is in the home's own log.
     """
     if other.event not in _BELIEFS or other.node not in _nodes(request):
         return False
--- a/src/orchidwind/commands/main.py
+++ b/src/orchidwind/commands/main.py
@@ -1,4 +1,8 @@
-"""`orchidwind`: run a proxy, check and apply the operators' file, look at a proxy, drain it."""
+"""`orchidwind`: run a proxy, check and apply the operators' file, look at a proxy, drain it.
+
+For: operators. Owns commands, options and exit codes, which scripts rely on; each function's
+parameters are its options. What the commands do is in `operations` and `explain`.
+"""
 
 from __future__ import annotations
 
@@ -19,6 +23,7 @@
 from orchidwind.shared.logs import configure_logging
 from orchidwind.shared.settings import ProxyOverrides, ProxySettings, load_proxy_settings
 
+# Exit codes: the file is not accepted; the command failed.
 _BAD_FILE = 2
 _FAILED = 1
 
--- a/src/orchidwind/platform/instances.py
+++ b/src/orchidwind/platform/instances.py
@@ -42,7 +42,7 @@
         self._started = False
 
     async def start(self, group: str) -> None:
-        """Name the instance that is wanted; raises BackendRefused, BackendConnectionLost."""
+        """Name the expected instance; raises BackendRefused, BackendConnectionLost."""
         self._reader = asyncio.get_running_loop().create_task(self._read())
         waiting = self._send(instance_lines.startup_line(group, self._instance), 1)
         reply = await waiting[0]
--- a/src/orchidwind/platform/main.py
+++ b/src/orchidwind/platform/main.py
@@ -159,7 +159,7 @@
 
 
 def main() -> None:
-    """Entry point of the process; the settings file's path stands in the environment."""
+    """Entry point of the process; the settings file's path comes from the environment."""
     path = Path(os.environ[SETTINGS_VARIABLE])
     configure_logging("INFO", load_platform_settings(path).proxy_name)
     asyncio.run(_run(path))
--- a/src/orchidwind/platform/operator_pages.py
+++ b/src/orchidwind/platform/operator_pages.py
@@ -18,7 +18,7 @@
 
 
 class OperatorPages:
-    """Answers on each address that it is told to listen on."""
+    """Answers on each address that it listens on."""
 
     def __init__(self, proxy: ProxyRuntime) -> None:
         self._proxy = proxy
--- a/src/orchidwind/platform/promotions.py
+++ b/src/orchidwind/platform/promotions.py
@@ -42,7 +42,7 @@
                         error.open_for,
                         error.silent_for,
                         1,
-                        "it may have been done, the statuses tell",
+                        "it may have been done, statuses are asked",
                         group,
                     )
                 )
--- a/src/orchidwind/platform/store.py
+++ b/src/orchidwind/platform/store.py
@@ -2,7 +2,7 @@
 
 For: the adapters of this folder (`coordination`, `published`), which know what the objects hold.
 Owns nothing between two calls: each has a connection of its own. Relies on `http_call` and on
-`stored_objects` for the forms. It repeats no call; how long one may take is told by its caller or
+`stored_objects` for the forms. It repeats no call; how long one may take is set by its caller or
 by `promoted.core.call_limits`. Outcomes are the errors of `shared.core.errors`: PlatformConflict,
 PlatformMissing, PlatformUncertain (it may have been done), PlatformError (it was not done).
 """
@@ -41,6 +41,7 @@
 from orchidwind.shared.logs import log_event
 from orchidwind.shared.silence import ConnectionKind, OnSilent, SilentConnection, log_silent
 
+# Statuses of a write that took effect.
 _WRITTEN = (200, 201)
 
 Item = TypeVar("Item")
@@ -55,7 +56,7 @@
     def __init__(
         self, address: tuple[str, int], on_call: OnCall, on_silent: OnSilent = log_silent
     ) -> None:
-        """`on_call` is told the method and the kind of object of each call."""
+        """`on_call` gets the method and the kind of object of each call."""
         self._address = address
         self._on_call = on_call
         self._on_silent = on_silent
--- a/src/orchidwind/platform/stored_objects.py
+++ b/src/orchidwind/platform/stored_objects.py
@@ -16,6 +16,7 @@
 
 from orchidwind.shared.core.errors import PlatformError
 
+# In a second.
 MILLISECONDS = 1000.0
 _OBJECTS = "/orchidwind/objects/"
 
@@ -27,7 +28,6 @@
 
     name: str
     revision: int = 0
-    deleting: bool = False
 
 
 class StoredObject(msgspec.Struct):
--- a/src/orchidwind/promoted/callers/command_runner.py
+++ b/src/orchidwind/promoted/callers/command_runner.py
@@ -57,8 +57,8 @@
     def _close_leftovers(self, group: GroupService) -> None:
         """Close connections that the flow left without a word: their state is uncertain."""
         transaction = self._session.transaction
-        kept = transaction.connection if transaction is not None else 0
-        for connection in self._held - {kept}:
+        of_transaction = transaction.connection if transaction is not None else 0
+        for connection in self._held - {of_transaction}:
             group.release(connection, False)
         self._held.clear()
 
@@ -77,8 +77,8 @@
         if isinstance(step, WaitForProof):
             return await group.prove_lead(step.term, limits.deadline)
         if isinstance(step, WaitForConnection):
-            wanted = traffic_class(context.database)
-            connection = await group.wait_for_connection(step.instance, wanted, hold_until)
+            share = traffic_class(context.database)
+            connection = await group.wait_for_connection(step.instance, share, hold_until)
             self._held.add(connection)
             return connection
         if isinstance(step, Exchange):
--- a/src/orchidwind/promoted/callers/session_executor.py
+++ b/src/orchidwind/promoted/callers/session_executor.py
@@ -75,7 +75,7 @@
 
     @property
     def state(self) -> TransactionState:
-        """The state that the caller is told."""
+        """The state that is shown to the caller."""
         return self.session.state
 
     def caller_left(self) -> None:
--- a/src/orchidwind/promoted/core/freshness.py
+++ b/src/orchidwind/promoted/core/freshness.py
@@ -23,8 +23,9 @@
 from dataclasses import dataclass
 from enum import Enum, auto
 
-# Two waits together stay below the age at which the store is read: an answer that tells of a change
-# may have been on its way since its watch was sent, so only the next one confirms the view.
+# Shares of the bound, chosen as said above. Two waits together stay below the age at which the
+# store is read: an answer that tells of a change may have been on its way since its watch was sent,
+# so only the next one confirms the view.
 _WATCH_WAIT_SHARE = 0.25
 _ANSWER_SLACK_SHARE = 0.15
 _ASK_SHARE = 0.15
@@ -33,8 +34,8 @@
 _PAUSE_SHARE = 0.1
 # A long content that another proxy sends, where the store does not serve this one.
 _WHOLE_SHARE = 0.4
-# A proxy that others tell needs the store itself only where the store serves it and not them. In an
-# outage all proxies ask: the readers often, these seldom.
+# A proxy that others inform needs the store itself only where the store serves it and not them. In
+# an outage all proxies ask: the readers often, these seldom.
 _RELYING_PAUSE_SHARE = 0.3
 # A watch that nobody's promise waits for costs one call each 30 s, the longest the store allows.
 LONGEST_WATCH_SECONDS = 30.0
--- a/src/orchidwind/promoted/core/peer_loss.py
+++ b/src/orchidwind/promoted/core/peer_loss.py
@@ -1,4 +1,8 @@
-"""What becomes of a command whose home proxy went away under it. No I/O."""
+"""What becomes of a command whose home proxy went away under it. No I/O.
+
+For: `peers.forwarding`. Owns the rule which commands may be sent to another home and what the
+caller is answered for the others; docs/STATEMENTS.md has the table.
+"""
 
 from __future__ import annotations
 
@@ -11,11 +15,11 @@
 def after_lost_home(
     session: Session, command: Command, opened: bool, sent: bool
 ) -> RequestError | None:
-    """What the caller is told; None where the command may be sent to another home.
+    """What the caller is answered; None where the command may be sent to another home.
 
     `opened` tells that the transaction was open at that home, `sent` that this command had left.
     The instance rolls a transaction back when its home is gone, so without a COMMIT on its way
-    nothing of it is kept. A single write that left is not sent again.
+    nothing of it remains. A single write that left is not sent again.
     """
     if command.kind is CommandKind.COMMIT and sent:
         wrote = session.transaction is not None and session.transaction.wrote
--- a/src/orchidwind/promoted/core/peer_messages.py
+++ b/src/orchidwind/promoted/core/peer_messages.py
@@ -1,4 +1,9 @@
-"""What proxies of promoted groups say to one another on a link; `peer_codec` encodes it."""
+"""The messages between proxies of promoted groups. No I/O.
+
+For: `promoted.peers`. Owns the fields; processes of two versions read one another, so names and
+types stay as in `messages.avsc`. `peers.peer_codec` encodes them, `forwarded_commands` and
+`views.view_forms` fill them and read them. Times are in seconds.
+"""
 
 from __future__ import annotations
 
@@ -147,7 +152,7 @@
     """A proxy's view, which was known to be current `age` seconds before this, as of `revision`.
 
     Without `known` the proxy does not follow that view. One of the views is given where it changed
-    after the revision asked for; with `omitted` it did, and is too long to be told unasked.
+    after the revision asked for; with `omitted` it did, and is too long to be sent unasked.
     """
 
     number: int
--- a/src/orchidwind/promoted/core/session.py
+++ b/src/orchidwind/promoted/core/session.py
@@ -1,4 +1,8 @@
-"""One caller's session on a promoted group: settings, prepared statements, transaction. No I/O."""
+"""One caller's session on a promoted group: settings, prepared statements, transaction. No I/O.
+
+For: `callers.session_executor` at the front, `peers.remote_session` at a home. Owns what a proxy
+remembers of a session, and answers what needs no instance.
+"""
 
 from __future__ import annotations
 
@@ -14,6 +18,8 @@
 from orchidwind.shared.core.errors import ErrorKind, RequestError
 from orchidwind.shared.core.positions import Position
 
+# Settings and prepared statements that a session may hold. Chosen: bounds of memory against a
+# caller that never stops; both are far above what drivers use.
 MAXIMUM_SETTINGS = 256
 MAXIMUM_PREPARED = 1024
 
@@ -46,7 +52,7 @@
 
     @property
     def state(self) -> TransactionState:
-        """The state that the caller is told."""
+        """The state that is shown to the caller."""
         if self.failed:
             return TransactionState.FAILED
         return TransactionState.IDLE if self.transaction is None else TransactionState.OPEN
--- a/src/orchidwind/promoted/peers/forwarding.py
+++ b/src/orchidwind/promoted/peers/forwarding.py
@@ -146,12 +146,12 @@
         return result_at_front(answer)
 
     def _timed_out(self, command: Command) -> RequestError:
-        """The home did not answer in time; it has been told to begin nothing more."""
+        """The home did not answer in time; it was asked to begin nothing more."""
         lost = self._lose_home(command, sent=True)
         return lost or RequestError(ErrorKind.STATEMENT_TIMEOUT, "the home did not answer in time")
 
     def _lose_home(self, command: Command, sent: bool) -> RequestError | None:
-        """The home is gone for this command; what the caller is told, None to try another."""
+        """The home is gone for this command; what the caller is answered, None to try another."""
         opened, self._open = self._open is not None, None
         error = after_lost_home(self._session, command, opened, sent)
         if error is not None:
--- a/src/orchidwind/promoted/peers/peer_codec.py
+++ b/src/orchidwind/promoted/peers/peer_codec.py
@@ -1,4 +1,8 @@
-"""Avro encoding of the messages between proxies for promoted groups (union `peer`)."""
+"""Avro encoding of the messages between proxies for promoted groups (union `peer`).
+
+For: `peer_streams`. Owns which message is which record of `messages.avsc`; the messages are those
+of `core.peer_messages`. No I/O but the schema's file. Processes of two versions read one another.
+"""
 
 from __future__ import annotations
 
@@ -19,6 +23,9 @@
 
 __all__ = ["MAXIMUM_PEER_FRAME_BYTES", "DecodeError", "FrameCutter", "decode_peer", "encode_peer"]
 
+# The longest message of another proxy, bytes. Chosen: four times the longest message of a caller,
+# and of the longest configuration between proxies (217 KB for 4,254 databases, docs/SILENCE.md)
+# many times its size.
 MAXIMUM_PEER_FRAME_BYTES = 4 * 1024 * 1024
 _TYPES: dict[str, type[PeerMessage]] = {
     kind.__name__: kind
--- a/src/orchidwind/promoted/peers/peer_link.py
+++ b/src/orchidwind/promoted/peers/peer_link.py
@@ -124,7 +124,7 @@
             self._connection.send(message)
 
     def close(self) -> None:
-        """Cut the link; who waits is told."""
+        """Cut the link; waiting commands fail."""
         self._closed = True
         if self._reopening is not None:
             self._reopening.cancel()
@@ -246,7 +246,7 @@
         self.notify(Probe())
 
     def _give_up(self, silent_for: float) -> None:
-        """The link is silent: who waits is told, and it is opened anew."""
+        """The link is silent: waiting commands fail, and it is opened anew."""
         pending = len(self._pending)
         self._on_silent(
             SilentConnection(
@@ -255,7 +255,7 @@
                 self._silence.open_for(self._loop.time()),
                 silent_for,
                 pending,
-                "its commands are told, it is opened anew" if pending else "it is opened anew",
+                "its commands fail here, it is opened anew" if pending else "it is opened anew",
             )
         )
         self._lost("silent")
--- a/src/orchidwind/promoted/peers/peer_streams.py
+++ b/src/orchidwind/promoted/peers/peer_streams.py
@@ -1,5 +1,8 @@
 """Links between proxies for promoted groups on TCP: the port `PeerConnector`, and the listener.
 
+For: `peer_link` on the asking side, `peer_service` on the answering side. Owns the sockets. Relies
+on `peer_codec` for the messages.
+
 A side that gives a link up resets it: what the network still holds must not arrive later, as its
 sender has answered its caller by then.
 """
@@ -23,7 +26,9 @@
 from orchidwind.shared.core.errors import PeerUnavailable
 from orchidwind.shared.sockets import client_socket, watchful
 
+# One read of a socket, bytes. Chosen: a window of TCP; longer messages take several reads.
 _READ_BYTES = 65536
+# Linger for zero seconds: closing resets the connection and drops what was not sent.
 _RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 
@@ -52,6 +57,7 @@
     async def drained(self) -> None:
         """Wait until the network has taken what was sent, or the connection is gone."""
         if self._written is not None:
+            # A connection that is gone is found by its reader.
             with contextlib.suppress(StreamClosedError):
                 await self._written
 
@@ -69,6 +75,7 @@
                 while (body := frames.next_body()) is not None:
                     on_message(codec.decode_peer(body))
         except StreamClosedError:
+            # The usual end of a link; whoever waits for it logs the reason.
             return "closed"
         except codec.DecodeError as error:
             self.close()
@@ -84,8 +91,10 @@
         try:
             return self._stream.socket.recv(1, socket.MSG_PEEK) == b""
         except BlockingIOError:
+            # Open, and nothing more to read.
             return False
         except OSError:
+            # Reset: the other side has given it up, which is what is asked here.
             return True
 
     def close(self) -> None:
@@ -99,7 +108,7 @@
     def start(
         self, on_message: Callable[[PeerMessage], None], on_lost: Callable[[str], None]
     ) -> None:
-        """Take messages in the background; `on_lost` is told when the connection has ended."""
+        """Take messages in the background; `on_lost` is called with the reason of the end."""
 
         async def run() -> None:
             on_lost(await self.receive(on_message))
--- a/src/orchidwind/promoted/peers/remote_session.py
+++ b/src/orchidwind/promoted/peers/remote_session.py
@@ -59,7 +59,7 @@
     def end_work(self, on_expired: Callable[[], None]) -> None:
         """A command has ended. The front ends a transaction that rests; if it does not, this does.
 
-        A front that stands still would else hold the connection.
+        A front that is frozen would else hold the connection.
         """
 
         def expire() -> None:
--- a/src/orchidwind/promoted/ports.py
+++ b/src/orchidwind/promoted/ports.py
@@ -1,4 +1,9 @@
-"""The ports of a proxy of promoted groups, each with an adapter for a protocol and for tests."""
+"""The ports of a proxy of promoted groups, each with an adapter for a protocol and for tests.
+
+For: `promoted.group`, `peers` and `views`, which call them; `platform` and the simulated worlds,
+which fill them in. Owns the contract of each call: what it does, what it raises. No code and no
+I/O. Adapters neither repeat a call nor choose how long it may take beyond `core.call_limits`.
+"""
 
 from __future__ import annotations
 
@@ -153,7 +158,7 @@
         on_message: Callable[[PeerMessage], None],
         on_lost: Callable[[str], None],
     ) -> PeerConnection:
-        """Open a connection; raises PeerUnavailable. `on_lost` is told the reason."""
+        """Open a connection; raises PeerUnavailable. `on_lost` gets the reason."""
 
 
 class RosterStore(Protocol):
@@ -170,13 +175,13 @@
     """The proxies that may hold a lead lease; calls raise PlatformError."""
 
     async def confirm(self, confirmation: LeaseConfirmation) -> int:
-        """Register a proxy, or tell that it dropped its lease; the revision of its object."""
+        """Register a proxy, or record that it dropped its lease; the revision of its object."""
 
     async def confirmations(self) -> tuple[LeaseConfirmation, ...]:
         """All registered proxies, read freshly."""
 
     async def leave(self, confirmation: LeaseConfirmation, revision: int) -> None:
-        """A proxy holds no lease any more; written only if its object stands at a revision."""
+        """A proxy holds no lease any more; written only if its object is at a revision."""
 
 
 class PromotionService(Protocol):
--- a/src/orchidwind/promoted/proxy_runtime.py
+++ b/src/orchidwind/promoted/proxy_runtime.py
@@ -149,6 +149,7 @@
             async with asyncio.timeout(seconds):
                 await self._prepared.wait()
         except TimeoutError:
+            # An outcome, not an error: the caller refuses its session with a line of its own.
             return False
         return True
 
--- a/src/orchidwind/promoted/views/collection_watch.py
+++ b/src/orchidwind/promoted/views/collection_watch.py
@@ -219,7 +219,7 @@
     async def _live_on_others(self) -> None:
         """Take confirmations and changes from others, until they rely on this proxy instead.
 
-        Raises _ReadAnew where nobody confirmed the view for long, or one tells of a later one.
+        Raises _ReadAnew where nobody confirmed the view for long, or one has a later one.
         """
         while (role := self._role) is SourceRole.RELYING:
             due_in = self._rule.check_due_in(self._loop.time(), role, may_be_old=False)
--- a/src/orchidwind/promoted/views/hedged_call.py
+++ b/src/orchidwind/promoted/views/hedged_call.py
@@ -41,7 +41,7 @@
 
     `arrival` is noted by the calls as bytes of their answers come. A call that was swallowed costs
     one stagger, and one that is only slow is not given up for it. Raises PlatformError when all
-    have failed, or have been silent for one more stagger. `on_outrun` is told for how long the
+    have failed, or have been silent for one more stagger. `on_outrun` gets for how long the
     oldest call was silent that a later one outran.
     """
     return await _HedgedCall(call, stagger, arrival, on_outrun).run()
--- a/src/orchidwind/promoted/views/held_view.py
+++ b/src/orchidwind/promoted/views/held_view.py
@@ -25,7 +25,7 @@
     def listed(self, listing: Listing[Taken]) -> bool:
         """All items as of a revision; what is missing is gone.
 
-        Whether they differ from what was held, so that others have to be told.
+        Whether they differ from what was held, so that the view has changed for others, too.
         """
 
     def changed(self, changes: Changes[Taken]) -> None:
--- a/src/orchidwind/promoted/views/second_path.py
+++ b/src/orchidwind/promoted/views/second_path.py
@@ -36,5 +36,5 @@
     async def ask(self, revision: int, whole: bool) -> ReportedView[Item] | None:
         """Ask for what is later than a revision; None where nobody knows.
 
-        With `whole` a long content is wanted, too.
+        `whole`: a long content is to be sent, too.
         """
