--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -3,9 +3,9 @@
 import asyncio
 import os
 
-import known_red
 import pytest
 from hypothesis import HealthCheck, settings
+from support import known_red
 
 from orchidwind_bench.elected.deployment import CALLER, CALLER_PASSWORD, Deployment, DeploymentPlan
 from orchidwind_bench.processes import Programs
--- a/tests/elected/test_silent_backends.py
+++ b/tests/elected/test_silent_backends.py
@@ -4,7 +4,7 @@
 import re
 from types import SimpleNamespace
 
-from test_silent_edge import Relay
+from support.relay import HOST, Relay
 
 from orchidwind.elected.core.configuration import DatabaseSettings, InstanceAddress
 from orchidwind.elected.core.statements import (
@@ -27,7 +27,6 @@
 from orchidwind.shared.core.admission import TrafficClass
 from orchidwind.shared.core.errors import ErrorKind
 
-HOST = "127.0.0.1"
 TEXT_OID = 25
 DEADLINE_SECONDS = 0.5
 # The deadline, the next look of a statement that is let run, the way of the question, and slack.
--- a/tests/promoted/test_followed_views.py
+++ b/tests/promoted/test_followed_views.py
@@ -5,7 +5,7 @@
 
 import asyncio
 
-from test_platform_node import SERVICE, LineClient, with_system
+from support.platform_system import SERVICE, LineClient, with_system
 
 # The bounds of the first users' smaller deployments, with a shorter one for a drain.
 BOUNDS = {"config_apply_ms": 3000, "contact_ms": 4000, "drain_ms": 4000}
--- a/tests/promoted/test_half_open_callers.py
+++ b/tests/promoted/test_half_open_callers.py
@@ -2,8 +2,8 @@
 
 import asyncio
 
-from test_platform_node import SERVICE, LineClient, with_system
-from test_silent_edge import Relay
+from support.platform_system import SERVICE, LineClient, with_system
+from support.relay import Relay
 
 from orchidwind.platform.line_format import MAXIMUM_MESSAGE_BYTES
 
--- a/tests/promoted/test_silent_sockets.py
+++ b/tests/promoted/test_silent_sockets.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from test_platform_node import SERVICE, LineClient, with_system
+from support.platform_system import SERVICE, LineClient, with_system
 
 # A second and more at rest, then 0.4 s without an answer.
 RESTS_SECONDS = 2.0
--- a/tests/promoted/test_untold_commits.py
+++ b/tests/promoted/test_untold_commits.py
@@ -6,7 +6,7 @@
 import asyncio
 
 import pytest
-from test_lost_commits import NODES, crash_and_leave, cut_proxies, deafen, drain, once, play
+from support.scripted_days import NODES, crash_and_leave, cut_proxies, deafen, drain, once, play
 
 from orchidwind_bench.promoted.simulation.store import STORE
 
--- a/tests/shared/test_known_red.py
+++ b/tests/shared/test_known_red.py
@@ -1,7 +1,7 @@
 """The list of known failures is short, complete and expected to fail."""
 
-import known_red
 import pytest
+from support import known_red
 
 
 class _Item:
--- /dev/null
+++ b/tests/support/__init__.py
@@ -0,0 +1,1 @@
+"""Scaffolding that several test modules use."""
--- /dev/null
+++ b/tests/support/relay.py
@@ -0,0 +1,45 @@
+"""A relay between a client and a server on loopback, whose connections may fall silent."""
+
+import asyncio
+
+HOST = "127.0.0.1"
+
+
+class Relay:
+    """Passes bytes both ways; `silence` has its open connections take all and deliver nothing."""
+
+    def __init__(self, port):
+        self._port = port
+        self._heard = set()
+        self._tasks = set()
+        self.opened = 0
+
+    async def start(self):
+        self._server = await asyncio.start_server(self._serve, HOST, 0)
+        self.port = self._server.sockets[0].getsockname()[1]
+        return self.port
+
+    def silence(self):
+        self._heard.clear()
+
+    async def _serve(self, reader, writer):
+        self.opened += 1
+        far_reader, far_writer = await asyncio.open_connection(HOST, self._port)
+        number = self.opened
+        self._heard.add(number)
+        await asyncio.gather(
+            self._pass(number, reader, far_writer), self._pass(number, far_reader, writer)
+        )
+
+    async def _pass(self, number, reader, writer):
+        try:
+            while data := await reader.read(65536):
+                if number in self._heard:
+                    writer.write(data)
+        except (ConnectionError, asyncio.CancelledError):
+            pass  # the test is over
+        if number in self._heard:
+            writer.close()
+
+    def stop(self):
+        self._server.close()
