--- a/src/orchidwind_bench/promoted/exploration/proxy_lease.py
+++ b/src/orchidwind_bench/promoted/exploration/proxy_lease.py
@@ -9,7 +9,7 @@
 from functools import partial
 
 from orchidwind.promoted.core.failover_steps import AcknowledgedCommits
-from orchidwind.promoted.core.lead_lease import REVOCATION_WAIT_SECONDS, LeadLease
+from orchidwind.promoted.core.lead_lease import REVOCATION_WAIT_SECONDS, LeadLease, LockReading
 from orchidwind.promoted.core.lead_proof import (
     LeaseEvidence,
     ProvenLead,
@@ -70,7 +70,7 @@
             sent_at = self._life.now()
             read = yield from self._lock.read()
             if read is not None:
-                self._lease.lock_read(sent_at, read[0])
+                self._lease.lock_seen(LockReading.of(sent_at, read[0]))
                 yield from self._prove_lead()
             yield RENEWAL_SECONDS
 
