--- a/src/orchidwind/promoted/core/commit_acknowledgement.py
+++ b/src/orchidwind/promoted/core/commit_acknowledgement.py
@@ -16,8 +16,8 @@
 of this proxy's sight. While nothing is proven, the driver asks again after `PROOF_RETRY_SECONDS`;
 how long it may go on is the deadline of the caller's request.
 
-Measured with the whole rule removed: ten scripted days of `tests/promoted/test_lost_commits.py`
-and `tests/promoted/test_untold_commits.py` break promises, 4 to 250 times each (one play of each).
+Measured with the whole rule removed: ten scripted days of `test_change_of_primary.py` and
+`test_commits_under_faults.py` (tests/promoted) break promises, 4 to 250 times each (one play).
 
 Owns: nothing. Relies on: `lead_proof` for the lease, `log_positions` for what a log holds,
 `failover` for the order of lock, fences and leases that makes each of the three safe.
