--- a/src/orchidwind_standins/elected/sql_session.py
+++ b/src/orchidwind_standins/elected/sql_session.py
@@ -321,6 +321,8 @@
             except (ValueError, TypeError) as error:
                 raise sql_error("22P03", f"cannot encode a value: {error}") from error
             await sink.rows(encoded, len(chunk))
+            # Heartbeats and status queries go on beside a long result, as beside a backend process.
+            await asyncio.sleep(0)
 
     def _commit(self) -> None:
         if self._in_sqlite:
