--- a/src/orchidwind/promoted/group/exchanges.py
+++ b/src/orchidwind/promoted/group/exchanges.py
@@ -2,7 +2,7 @@
 
 Owns: the way of one exchange: it is sent, together with the proof of the lead that it relies on;
 a commit is held back until it may be acknowledged. Relies on `OutstandingWrites` and `OwedAnswers`
-to notice those that stay without an answer, and on `LeadProver` and `AcknowledgedCommits` for the
+to notice those that stay without an answer, and on `LeadProver` and `HeldCommits` for the
 proofs.
 """
 
@@ -16,9 +16,9 @@
 from orchidwind.promoted.core.commands import InstanceMessage, MessageKind, Reply, ReplyCode
 from orchidwind.promoted.core.steps import Exchange, ExchangeResult
 from orchidwind.promoted.core.topology import GroupTopology
-from orchidwind.promoted.group.acknowledged_commits import AcknowledgedCommits
 from orchidwind.promoted.group.connections import GroupConnections
 from orchidwind.promoted.group.group_breakers import GroupBreakers
+from orchidwind.promoted.group.held_commits import HeldCommits
 from orchidwind.promoted.group.lead_prover import LeadProver, StatusTask
 from orchidwind.promoted.group.outstanding_writes import OutstandingWrites
 from orchidwind.promoted.group.owed_answers import OwedAnswers
@@ -39,7 +39,7 @@
     writes: OutstandingWrites
     owed: OwedAnswers
     prover: LeadProver
-    commits: AcknowledgedCommits
+    commits: HeldCommits
     breakers: GroupBreakers
     metrics: ProxyMetrics
     on_unproven: Callable[[], None]
--- a/src/orchidwind/promoted/group/group_service.py
+++ b/src/orchidwind/promoted/group/group_service.py
@@ -10,7 +10,7 @@
 - `waiting_requests`: requests that wait until the view shows where they can run;
 - `group_breakers`: requests that are refused at once;
 - `connections`: server connections and the requests that wait for one;
-- `exchanges`, `outstanding_writes`, `acknowledged_commits`: from a message to its reply;
+- `exchanges`, `outstanding_writes`, `held_commits`: from a message to its reply;
 - `owed_answers`, `silent_connections`, `status_calls`: instances and connections without answer.
 
 Relies on the directory and the rosters being passed on, and on a supervisor (`group_supervision`).
@@ -31,11 +31,11 @@
 from orchidwind.promoted.core.read_planning import ReadPlan, ReadRequest, plan_read
 from orchidwind.promoted.core.steps import Exchange, ExchangeResult
 from orchidwind.promoted.core.topology import PrimaryView
-from orchidwind.promoted.group.acknowledged_commits import AcknowledgedCommits
 from orchidwind.promoted.group.commit_guard import CommitGuard
 from orchidwind.promoted.group.connections import GroupConnections
 from orchidwind.promoted.group.exchanges import ExchangeParts, Exchanges
 from orchidwind.promoted.group.group_breakers import GroupBreakers
+from orchidwind.promoted.group.held_commits import HeldCommits
 from orchidwind.promoted.group.lead_prover import LeadProver
 from orchidwind.promoted.group.lease_keeper import LeaseKeeper
 from orchidwind.promoted.group.outstanding_writes import OutstandingWrites
@@ -122,7 +122,7 @@
         leases = self._environment.leases
         self._prover = LeadProver(self.topology, leases, self.ask_status)
         self._guard = CommitGuard(self.topology, self._prover, self.ask_status)
-        commits = AcknowledgedCommits(self.topology, self._guard, leases, self._breakers)
+        commits = HeldCommits(self.topology, self._guard, leases, self._breakers)
         self._exchanges = Exchanges(
             ExchangeParts(
                 topology=self.topology,
--- a/src/orchidwind/promoted/group/acknowledged_commits.py
+++ b/src/orchidwind/promoted/group/held_commits.py
@@ -37,7 +37,7 @@
         return f"{self.request_id}@{self.position.term}.{self.position.lsn}"
 
 
-class AcknowledgedCommits:
+class HeldCommits:
     """Holds commits back until no change of primary can leave them out."""
 
     def __init__(
--- a/src/orchidwind/promoted/group/view_changes.py
+++ b/src/orchidwind/promoted/group/view_changes.py
@@ -14,8 +14,8 @@
 from orchidwind.promoted.core.commands import InstanceStatus
 from orchidwind.promoted.core.configuration import DirectoryEntry
 from orchidwind.promoted.core.topology import GroupTopology, PrimaryView
-from orchidwind.promoted.group.acknowledged_commits import AcknowledgedCommits
 from orchidwind.promoted.group.group_breakers import GroupBreakers
+from orchidwind.promoted.group.held_commits import HeldCommits
 from orchidwind.shared.logs import log_event
 
 
@@ -26,7 +26,7 @@
         self,
         topology: GroupTopology,
         breakers: GroupBreakers,
-        commits: AcknowledgedCommits,
+        commits: HeldCommits,
         on_change: Callable[[], None],
     ) -> None:
         self._topology = topology
