--- a/src/orchidwind_bench/promoted/exploration/proxy_lock.py
+++ b/src/orchidwind_bench/promoted/exploration/proxy_lock.py
@@ -8,10 +8,10 @@
 from collections.abc import Callable
 
 from orchidwind.promoted.core.promotion_lock import (
-    TAKE_OVER_SECONDS,
     HeldLock,
     LockDecision,
     LockRecord,
+    held_by_another,
     held_lock,
 )
 from orchidwind_bench.promoted.exploration.proxy_views import ProxyViews
@@ -53,8 +53,8 @@
 
     def held_by_another(self) -> bool:
         """Whether another proxy took the lock a short while ago."""
-        another = self._holder not in ("", self._life.name)
-        return another and self._life.now() - self._seen_at < TAKE_OVER_SECONDS
+        held_for = self._life.now() - self._seen_at
+        return held_by_another(self._holder, self._life.name, held_for)
 
     def read(self) -> Process[tuple[LockRecord | None] | None]:
         """The record in a tuple; None where the store does not answer."""
