--- a/src/orchidwind/elected/network/cluster.py
+++ b/src/orchidwind/elected/network/cluster.py
@@ -25,7 +25,6 @@
 from orchidwind.elected.core.placement import Node, Placement
 from orchidwind.elected.core.slot_leases import LeaseAnswer
 from orchidwind.elected.network import codec
-from orchidwind.elected.network.background_tasks import BackgroundTasks
 from orchidwind.elected.network.datagrams import MembershipService
 from orchidwind.elected.network.front import Home
 from orchidwind.elected.network.peer_link import PeerLink
@@ -33,6 +32,7 @@
 from orchidwind.shared.core.errors import PeerUnavailable
 from orchidwind.shared.logs import log_event
 from orchidwind.shared.settings import ProxySettings, parse_address
+from orchidwind.shared.task_set import TaskSet
 
 # Chosen: changes of members within this time lead to one change of roles.
 _VIEW_SETTLE_SECONDS = 0.05
@@ -52,7 +52,7 @@
         self._settings = settings
         self._on_roles = on_roles
         self.on_lease: Callable[[str, str, LeaseAnswer], None] = lambda database, peer, answer: None
-        self._tasks = BackgroundTasks()
+        self._tasks = TaskSet()
         self._loop = asyncio.get_running_loop()
         self._classes = ClassMatcher([])
         self._homes: dict[str, Home | None] = {}
@@ -182,7 +182,7 @@
         message: codec.LinkMessage,
         on_unsent: Callable[[], None] = lambda: None,
     ) -> None:
-        self._tasks.spawn(self._send(link, message, on_unsent))
+        self._tasks.start(self._send(link, message, on_unsent))
 
     async def _send(
         self, link: PeerLink, message: codec.LinkMessage, on_unsent: Callable[[], None]
--- a/src/orchidwind/elected/network/group_runner.py
+++ b/src/orchidwind/elected/network/group_runner.py
@@ -28,13 +28,13 @@
 from orchidwind.elected.core.slot_leases import LeaseAnswer, SlotLeases
 from orchidwind.elected.core.statements import ChannelKey, Outcome, RunResult, StatementRequest
 from orchidwind.elected.network.answer_port import AnswerPort
-from orchidwind.elected.network.background_tasks import BackgroundTasks
 from orchidwind.elected.network.instance_connections import InstanceConnections
 from orchidwind.elected.network.instance_targets import InstanceTargets
 from orchidwind.elected.network.slot_lending import LeasePort, SlotLending
 from orchidwind.elected.network.status_queries import StatusQueries
 from orchidwind.shared.core.errors import BackendConnectionLost
 from orchidwind.shared.core.pool import CloseConnection, OpenConnection
+from orchidwind.shared.task_set import TaskSet
 
 # Chosen: a deadline that has passed is served this much later, so that other work runs in between.
 _SHORTEST_TIMER_SECONDS = 0.0005
@@ -62,7 +62,7 @@
         self.group = HomeGroup(shares, group_options(database))
         self._loop = asyncio.get_running_loop()
         self._targets = InstanceTargets(database, zone)
-        self._tasks = BackgroundTasks()
+        self._tasks = TaskSet()
         self._connections = InstanceConnections(self._targets, self._tasks, self)
         self._status = StatusQueries(self._targets, self._tasks, self)
         self._ports: dict[int, tuple[AnswerPort, OnFinished]] = {}
--- a/src/orchidwind/elected/network/instance_connections.py
+++ b/src/orchidwind/elected/network/instance_connections.py
@@ -16,12 +16,12 @@
 from orchidwind.elected.network.answer_port import AnswerPort
 from orchidwind.elected.network.backend import BackendConnection
 from orchidwind.elected.network.backend_state import still_runs
-from orchidwind.elected.network.background_tasks import BackgroundTasks
 from orchidwind.elected.network.instance_targets import INSTANCE_CONNECT_SECONDS, InstanceTargets
 from orchidwind.shared.core.errors import BackendConnectionLost, BackendRefused
 from orchidwind.shared.core.pool import OpenConnection
 from orchidwind.shared.logs import log_event
 from orchidwind.shared.silence import ConnectionKind, SilentConnection, log_silent
+from orchidwind.shared.task_set import TaskSet
 
 # Chosen: a caller that takes no rows for this time is given up; eight such callers held all replica
 # connections of a home (docs/DECISIONS.md, "A caller that does not read for 2 s is given up").
@@ -81,9 +81,7 @@
 class InstanceConnections:
     """The connections of one group, by number."""
 
-    def __init__(
-        self, targets: InstanceTargets, tasks: BackgroundTasks, events: ConnectionEvents
-    ) -> None:
+    def __init__(self, targets: InstanceTargets, tasks: TaskSet, events: ConnectionEvents) -> None:
         self._targets = targets
         self._tasks = tasks
         self._events = events
@@ -93,17 +91,17 @@
 
     def open(self, effect: OpenConnection) -> None:
         """Open a connection."""
-        self._tasks.spawn(self._connect(effect))
+        self._tasks.start(self._connect(effect))
 
     def run(self, effect: RunOnConnection) -> None:
         """Run a statement."""
-        self._tasks.spawn(self._run(effect))
+        self._tasks.start(self._run(effect))
 
     def cancel(self, number: int) -> None:
         """Ask the database to cancel what runs on a connection."""
         connection = self._open.get(number)
         if connection is not None:
-            self._tasks.spawn(connection.cancel())
+            self._tasks.start(connection.cancel())
 
     def close(self, number: int) -> None:
         """Close a connection that the group has dropped."""
@@ -119,7 +117,7 @@
 
     def check_backend(self, number: int, instance: str | None) -> None:
         """Find out whether the database still runs the statement of a connection."""
-        self._tasks.spawn(self._check_backend(number, instance))
+        self._tasks.start(self._check_backend(number, instance))
 
     def close_all(self) -> None:
         """Close every connection."""
--- a/src/orchidwind/elected/network/status_queries.py
+++ b/src/orchidwind/elected/network/status_queries.py
@@ -10,11 +10,11 @@
 
 from orchidwind.elected.core.group_effects import PollInstance
 from orchidwind.elected.core.group_view import InstanceReport
-from orchidwind.elected.network.background_tasks import BackgroundTasks
 from orchidwind.elected.network.instance_targets import INSTANCE_CONNECT_SECONDS, InstanceTargets
 from orchidwind.elected.network.observer import Observer
 from orchidwind.shared.core.errors import BackendConnectionLost, BackendRefused
 from orchidwind.shared.logs import log_event
+from orchidwind.shared.task_set import TaskSet
 
 
 class StatusEvents(Protocol):
@@ -30,9 +30,7 @@
 class StatusQueries:
     """Asks instances for their status."""
 
-    def __init__(
-        self, targets: InstanceTargets, tasks: BackgroundTasks, events: StatusEvents
-    ) -> None:
+    def __init__(self, targets: InstanceTargets, tasks: TaskSet, events: StatusEvents) -> None:
         self._targets = targets
         self._tasks = tasks
         self._events = events
@@ -41,7 +39,7 @@
 
     def ask(self, effect: PollInstance) -> None:
         """Send a status query; the answer comes as an event."""
-        self._tasks.spawn(self._ask(effect))
+        self._tasks.start(self._ask(effect))
 
     def reset(self, instance: str) -> None:
         """Close the status connection to an instance; the next query opens another."""
--- a/src/orchidwind/promoted/group/group_service.py
+++ b/src/orchidwind/promoted/group/group_service.py
@@ -42,7 +42,6 @@
 from orchidwind.promoted.group.owed_answers import OwedAnswers
 from orchidwind.promoted.group.silent_connections import SilentConnections
 from orchidwind.promoted.group.status_calls import StatusCall, StatusCalls, status_query
-from orchidwind.promoted.group.task_set import TaskSet
 from orchidwind.promoted.group.view_changes import ViewChanges
 from orchidwind.promoted.group.waiting_requests import WaitingRequests
 from orchidwind.promoted.metrics import ProxyMetrics
@@ -51,6 +50,7 @@
 from orchidwind.shared.core.errors import ErrorKind
 from orchidwind.shared.core.positions import Position
 from orchidwind.shared.logs import log_event
+from orchidwind.shared.task_set import TaskSet
 
 # A proxy that is no home watches over a group for so many seconds after it served it. Chosen, as
 # links between proxies are probed at rest for as long after their last use.
--- a/src/orchidwind/promoted/group/pool_driver.py
+++ b/src/orchidwind/promoted/group/pool_driver.py
@@ -17,7 +17,6 @@
 from orchidwind.promoted.group.connection_opener import CONNECTION_LIMIT_MET, ConnectionOpener
 from orchidwind.promoted.group.connection_records import ConnectionRecords
 from orchidwind.promoted.group.instance_pools import InstancePools
-from orchidwind.promoted.group.task_set import TaskSet
 from orchidwind.promoted.group.waiting_grants import WaitingGrants
 from orchidwind.promoted.ports import InstanceConnector
 from orchidwind.shared.core.errors import BackendConnectionLost, BackendRefused
@@ -29,6 +28,7 @@
     PoolEffect,
 )
 from orchidwind.shared.logs import log_event
+from orchidwind.shared.task_set import TaskSet
 
 # Shortest pause before a pool is looked at again, seconds. Chosen: bounds the wake-ups.
 _SHORTEST_RETRY_SECONDS = 0.01
--- a/src/orchidwind/promoted/group/silent_connections.py
+++ b/src/orchidwind/promoted/group/silent_connections.py
@@ -26,10 +26,10 @@
 from orchidwind.promoted.group.outstanding_writes import OutstandingWrites
 from orchidwind.promoted.group.resting_connections import RestingConnections
 from orchidwind.promoted.group.status_calls import StatusCalls, status_query
-from orchidwind.promoted.group.task_set import TaskSet
 from orchidwind.shared.core.errors import BackendConnectionLost, BackendRefused
 from orchidwind.shared.logs import log_event
 from orchidwind.shared.silence import ConnectionKind, OnSilent, SilentConnection
+from orchidwind.shared.task_set import TaskSet
 
 Answer = TypeVar("Answer")
 
--- a/src/orchidwind/promoted/group/task_set.py
+++ b/src/orchidwind/shared/task_set.py
@@ -1,7 +1,8 @@
-"""Short tasks that nobody waits for.
+"""Tasks that nobody awaits.
 
 Owns: a reference to each until it ends, in the order of their start, so that all can be cancelled.
-What goes on as long as the proxy lives belongs to `promoted/background_tasks`.
+Relies on: work that handles its own errors. What goes on as long as a proxy of promoted groups
+lives belongs to `promoted/background_tasks`.
 """
 
 from __future__ import annotations
