--- a/src/orchidwind/promoted/group/lead_prover.py
+++ b/src/orchidwind/promoted/group/lead_prover.py
@@ -86,7 +86,10 @@
 
     async def proves(self, query: StatusTask, term: int) -> bool:
         """Whether a query shows that no primary after `term` had begun when it was sent."""
-        status = await asyncio.shield(query)
+        await asyncio.wait({query})
+        if query.cancelled():  # this proxy closes its groups
+            return False
+        status = query.result()
         if status is None or not shows_no_later_term(status, term):
             return False
         primary = self._topology.primary(self._loop.time())
