--- a/src/orchidwind/commands/explain.py
+++ b/src/orchidwind/commands/explain.py
@@ -160,7 +160,7 @@
     ]
     story: list[str] = []
     for line in acknowledged:
-        story.append(f"told before a change of primary: {line.text}")
+        story.append(f"acknowledged before a change of primary: {line.text}")
         story.extend(
             f"  change: {other.text}"
             for other in lines
--- a/src/orchidwind/elected/core/flow_driver.py
+++ b/src/orchidwind/elected/core/flow_driver.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Done:
+class StepDone:
     """A step is done at once, with this result."""
 
     result: StepResult = None
@@ -35,7 +35,7 @@
 class StepHandler(Protocol):
     """Carries out the steps of flows."""
 
-    def perform(self, now: float, running: RunningRequest, step: Step) -> Done | None:
+    def perform(self, now: float, running: RunningRequest, step: Step) -> StepDone | None:
         """Carry a step out, or begin it and return None; raises RequestError."""
 
     def forget_wait(self, running: RunningRequest) -> None:
--- a/src/orchidwind/elected/core/group_view.py
+++ b/src/orchidwind/elected/core/group_view.py
@@ -1,7 +1,7 @@
 """What a home proxy knows of one database group: the reports of its instances.
 
 Owns which instance counts as primary, and how far each replica is behind. Relies on reports that
-`instance_status.py` asks for. Times are in seconds of the home's monotonic clock.
+`instance_reports.py` asks for. Times are in seconds of the home's monotonic clock.
 """
 
 from __future__ import annotations
--- a/src/orchidwind/elected/core/home_group.py
+++ b/src/orchidwind/elected/core/home_group.py
@@ -9,7 +9,7 @@
 - `view_waits.py` and `routing.py` say where a read runs, `commit_barrier.py` when a commit may be
   acknowledged, `request_deadlines.py` what a passed deadline means;
 - `server_connections.py`, `open_transactions.py` and `running_requests.py` hold what is in use;
-- `instance_status.py` keeps `group_view.py` up to date.
+- `instance_reports.py` keeps `group_view.py` up to date.
 """
 
 from __future__ import annotations
@@ -18,10 +18,10 @@
 
 from orchidwind.elected.core import flows, steps
 from orchidwind.elected.core.commit_barrier import BarrierDecision, CommitBarrier, Confirmed
-from orchidwind.elected.core.flow_driver import Done, FlowDriver
+from orchidwind.elected.core.flow_driver import FlowDriver, StepDone
 from orchidwind.elected.core.group_effects import CancelConnection, GroupEffect, GroupOptions
 from orchidwind.elected.core.group_view import GroupView, InstanceReport
-from orchidwind.elected.core.instance_status import InstanceStatus
+from orchidwind.elected.core.instance_reports import InstanceReports
 from orchidwind.elected.core.open_transactions import OpenTransactions
 from orchidwind.elected.core.request_deadlines import RequestDeadlines
 from orchidwind.elected.core.request_errors import (
@@ -60,7 +60,7 @@
         self.transactions = OpenTransactions(options.transaction_idle_seconds)
         self._driver = FlowDriver(self, self.requests, self.transactions, self._effects)
         self.connections = ServerConnections(shares, self._effects, self._driver)
-        self._status = InstanceStatus(self.view, options.polling, self._effects)
+        self._status = InstanceReports(self.view, options.polling, self._effects)
         self._waits = ViewWaits(self.view, self.connections, self._status.poller, options)
         self._deadlines = RequestDeadlines(
             self.view, self.requests, self.connections, self.transactions, self._effects
@@ -136,7 +136,7 @@
 
     # --- steps (the driver's StepHandler) -----------------------------------------------------
 
-    def perform(self, now: float, running: RunningRequest, step: Step) -> Done | None:
+    def perform(self, now: float, running: RunningRequest, step: Step) -> StepDone | None:
         """Carry a step out, or begin it and return None; raises RequestError."""
         return self._steps.perform(now, running, step)
 
--- a/src/orchidwind/elected/core/instance_status.py
+++ b/src/orchidwind/elected/core/instance_reports.py
@@ -16,7 +16,7 @@
 from orchidwind.elected.core.polling import PollingSettings, StatusPoller
 
 
-class InstanceStatus:
+class InstanceReports:
     """The reports of a group's instances, asked for in time."""
 
     def __init__(
--- a/src/orchidwind/elected/core/polling.py
+++ b/src/orchidwind/elected/core/polling.py
@@ -1,6 +1,6 @@
 """Decides when each instance of a group is asked for its status.
 
-Owns the times of queries; `instance_status.py` sends them. Times are in seconds of its clock.
+Owns the times of queries; `instance_reports.py` sends them. Times are in seconds of its clock.
 
 Idle groups are asked seldom, since this cost is paid for every database. Commits that wait for
 confirmation and reads that wait for a floor ask for a report that leaves after they arrived; one
--- a/src/orchidwind/elected/core/request_steps.py
+++ b/src/orchidwind/elected/core/request_steps.py
@@ -9,8 +9,8 @@
 
 from orchidwind.elected.core import steps
 from orchidwind.elected.core.commit_barrier import CONFIRM_SECONDS, CommitBarrier, PendingCommit
-from orchidwind.elected.core.flow_driver import Done
-from orchidwind.elected.core.instance_status import InstanceStatus
+from orchidwind.elected.core.flow_driver import StepDone
+from orchidwind.elected.core.instance_reports import InstanceReports
 from orchidwind.elected.core.open_transactions import OpenTransactions
 from orchidwind.elected.core.request_errors import commit_superseded, home_moved
 from orchidwind.elected.core.retries import RetryBudget
@@ -30,7 +30,7 @@
     barrier: CommitBarrier
     connections: ServerConnections
     transactions: OpenTransactions
-    status: InstanceStatus
+    status: InstanceReports
     waits: ViewWaits
     retries: RetryBudget
 
@@ -41,7 +41,7 @@
     def __init__(self, parts: GroupParts) -> None:
         self._parts = parts
 
-    def perform(self, now: float, running: RunningRequest, step: Step) -> Done | None:
+    def perform(self, now: float, running: RunningRequest, step: Step) -> StepDone | None:
         """Carry a step out, or begin it and return None; raises RequestError."""
         if isinstance(step, FIRST_WAITS) and not self._parts.connections.has_share:
             raise home_moved()
@@ -63,7 +63,7 @@
             self._parts.connections.stop_waiting(number, running.waits_for.instance)
         self._parts.barrier.drop(number)
 
-    def _perform_at_once(self, now: float, running: RunningRequest, step: Step) -> Done | None:
+    def _perform_at_once(self, now: float, running: RunningRequest, step: Step) -> StepDone | None:
         """The steps that wait for nothing; None for all others."""
         parts = self._parts
         channel = running.request.channel
@@ -71,26 +71,26 @@
             case steps.Release():
                 parts.connections.release(now, step.connection, step.reusable)
             case steps.ApplySettings():
-                return Done(parts.connections.apply_settings(step.connection, step.settings))
+                return StepDone(parts.connections.apply_settings(step.connection, step.settings))
             case steps.Suspect():
                 parts.status.suspect(now, step.instance)
                 parts.status.poller.want(now, now, [step.instance])
             case steps.TakeRetry():
-                return Done(parts.retries.take())
+                return StepDone(parts.retries.take())
             case steps.BindTransaction():
                 parts.transactions.bind(now, channel, step)
             case steps.EndTransaction():
                 parts.transactions.end(channel)
             case _:
                 return None
-        return Done()
+        return StepDone()
 
     def _connect(
         self, now: float, running: RunningRequest, step: steps.WaitForConnection
-    ) -> Done | None:
+    ) -> StepDone | None:
         running.waits_for = step
         connection = self._parts.connections.acquire(now, running.request, step.instance)
-        return None if connection is None else Done(connection)
+        return None if connection is None else StepDone(connection)
 
     def _confirm(
         self, now: float, running: RunningRequest, step: steps.WaitForConfirmation
@@ -101,10 +101,10 @@
             raise commit_superseded()
         self._parts.status.poller.want(now, now)
 
-    def _wait_for_view(self, now: float, step: Step) -> Done | None:
+    def _wait_for_view(self, now: float, step: Step) -> StepDone | None:
         result = self._parts.waits.result(now, step, since=now)
         if result is not None:
-            return Done(result)
+            return StepDone(result)
         if isinstance(step, steps.WaitForFloor):
             self._parts.status.poller.want(now, now)
         return None
--- a/src/orchidwind/elected/core/retries.py
+++ b/src/orchidwind/elected/core/retries.py
@@ -2,15 +2,18 @@
 
 | what failed | tried again | bounded by |
 |---|---|---|
-| no byte left for the instance | always: nothing ran | deadline |
+| no byte left for the instance | always: nothing ran; a named write within the budget | deadline |
 | a replica refused a write | on its successor: nothing ran | deadline |
 | connection under a read | if no part of its answer went out | attempts, budget, deadline |
 | connection under an unnamed write | never: it may have run | |
 | connection under a named write | if no part went out; the ledger settles it | budget, deadline |
+| a named write's commit is not confirmed | the same | budget, deadline |
 | connection of a transaction | never: what it read and wrote is lost | |
 | link to the home | see `after_link_loss` | deadline |
 | the proxy asked is home no longer | at the home that is known then | deadline |
 
+Only a request for another home pauses before it is sent again, for `HOME_RETRY_SECONDS`.
+
 Owns these rules and the budget of a home; the flows, `request_steps.py` and `network/front.py` ask.
 Times are in seconds of the asking proxy's monotonic clock.
 """
--- a/src/orchidwind/elected/core/view_waits.py
+++ b/src/orchidwind/elected/core/view_waits.py
@@ -1,7 +1,7 @@
 """What the steps that wait for the group's view get from it: a primary, a route, a floor, replay.
 
 Owns the rules of when a read's floor counts as known and how long a replica's replay is waited for;
-which instance serves a read is chosen by `routing.py`. Relies on reports that `instance_status.py`
+which instance serves a read is chosen by `routing.py`. Relies on reports that `instance_reports.py`
 asks for. Times are in seconds of the home's monotonic clock.
 """
 
--- a/src/orchidwind/elected/daemon.py
+++ b/src/orchidwind/elected/daemon.py
@@ -18,7 +18,7 @@
 from orchidwind.elected.network.object_api_watch import ObjectApiWatch
 from orchidwind.elected.network.operator_http import (
     DatabaseStatus,
-    InstanceStatus,
+    InstancePage,
     MemberStatus,
     Operated,
     ProxyStatus,
@@ -32,11 +32,11 @@
 from orchidwind.shared.logs import log_event
 from orchidwind.shared.settings import ProxySettings
 
-# Chosen: the time for other proxies to learn of a planned stop (measured: 0.7 s until all of 100
-# had, docs/DECISIONS.md, "Urgent membership news is pushed"); requests that come later are sent
+# Chosen: the time for other proxies to learn of a planned stop, shorter than the 0.7 s until all of
+# 100 had (docs/DECISIONS.md, "Urgent membership news is pushed"): requests that come later are sent
 # back.
 _ANNOUNCE_SECONDS = 0.5
-# Chosen: how late the end of the last request is noticed.
+# Chosen: the end of the last request is noticed so late at the latest, a tenth of the announcement.
 _DRAIN_CHECK_SECONDS = 0.05
 
 
@@ -206,7 +206,7 @@
     for name, report in group.view.reports.items():
         pool = group.connections.pools[name]
         instances.append(
-            InstanceStatus(
+            InstancePage(
                 name=name,
                 reachable=name not in group.view.unreachable,
                 in_recovery=report.in_recovery,
--- a/src/orchidwind/elected/network/instance_connections.py
+++ b/src/orchidwind/elected/network/instance_connections.py
@@ -16,7 +16,7 @@
 from orchidwind.elected.network.answer_port import AnswerPort
 from orchidwind.elected.network.backend import BackendConnection
 from orchidwind.elected.network.backend_state import still_runs
-from orchidwind.elected.network.instance_targets import INSTANCE_CONNECT_SECONDS, InstanceTargets
+from orchidwind.elected.network.instance_targets import DATABASE_CONNECT_SECONDS, InstanceTargets
 from orchidwind.shared.core.errors import BackendConnectionLost, BackendRefused
 from orchidwind.shared.core.pool import OpenConnection
 from orchidwind.shared.logs import log_event
@@ -127,7 +127,7 @@
     async def _connect(self, effect: OpenConnection) -> None:
         number = effect.connection
         try:
-            async with asyncio.timeout(INSTANCE_CONNECT_SECONDS):
+            async with asyncio.timeout(DATABASE_CONNECT_SECONDS):
                 connection = await BackendConnection.open(
                     self._targets.for_statements(effect.instance), lambda: self._idle_lost(number)
                 )
--- a/src/orchidwind/elected/network/instance_targets.py
+++ b/src/orchidwind/elected/network/instance_targets.py
@@ -8,8 +8,9 @@
 from orchidwind.elected.core.configuration import DatabaseSettings
 from orchidwind.elected.network.connection_target import ConnectionTarget
 
-# Chosen: a new connection to an instance, with its login, in seconds.
-INSTANCE_CONNECT_SECONDS = 2.0
+# Chosen: some tens of times the 10 to 25 ms that a new connection takes with its login; requests
+# that wait for it have deadlines of their own.
+DATABASE_CONNECT_SECONDS = 2.0
 
 
 class InstanceTargets:
--- a/src/orchidwind/elected/network/link_silence.py
+++ b/src/orchidwind/elected/network/link_silence.py
@@ -12,13 +12,14 @@
 
 # Chosen: above a round trip between regions, so that most answers come without a probe.
 PROBE_AFTER_SECONDS = 0.25
-# Two lost packets in a row come again by then; the shortest deadline of a class is 5 s by default.
+# Chosen: two lost packets in a row come again by then, and the shortest deadline of a class is 5 s
+# by default.
 SILENT_SECONDS = 1.0
-# One that was used lately is probed at rest, so that no request finds out first.
+# Chosen: one that was used lately is probed at rest, so that no request finds out first.
 REST_PROBE_SECONDS = 1.0
 # Chosen: bounds the probes of a link that nobody uses any longer.
 _IN_USE_SECONDS = 5.0
-# Chosen: how late a silence may be noticed.
+# Chosen: a silence is noticed so late at the latest, a tenth of the time that it takes.
 _CHECK_SECONDS = 0.1
 
 
@@ -31,7 +32,7 @@
     owed: Callable[[], int]
 
 
-class LinkSilence:
+class LinkSilenceTimer:
     """The silence of one open link. `give_up` gets its age and its silence, in seconds."""
 
     def __init__(self, actions: LinkActions) -> None:
--- a/src/orchidwind/elected/network/object_api_watch.py
+++ b/src/orchidwind/elected/network/object_api_watch.py
@@ -17,7 +17,7 @@
 _ROLE_CHECK_SECONDS = 0.5
 # A watch that fell silent tells of no change, so each is opened anew: a configuration is to be in
 # force everywhere within 7 s (docs/DEVELOPERS.md), and takes a second or two from the watchers on.
-LONGEST_WATCH_SECONDS = 4.0
+LONGEST_OBJECT_WATCH_SECONDS = 4.0
 # Chosen: pauses between calls to a store that fails; they double, and are spread at random.
 _SHORTEST_PAUSE_SECONDS = 0.2
 _LONGEST_PAUSE_SECONDS = 5.0
@@ -68,10 +68,10 @@
                 await asyncio.sleep(_ROLE_CHECK_SECONDS)
                 return
             self._metrics.gauges.watching.set(1)
-            async with asyncio.timeout(LONGEST_WATCH_SECONDS):
+            async with asyncio.timeout(LONGEST_OBJECT_WATCH_SECONDS):
                 await self._client.watch(version, self._take)
         except TimeoutError:
-            return  # the watch lasted LONGEST_WATCH_SECONDS, and is opened anew
+            return  # the watch lasted LONGEST_OBJECT_WATCH_SECONDS, and is opened anew
         except PlatformVersionGone:
             self._read_lately = False  # not logged: the whole is read anew, at once
         except PlatformError as error:
--- a/src/orchidwind/elected/network/operator_http.py
+++ b/src/orchidwind/elected/network/operator_http.py
@@ -18,7 +18,7 @@
     leaving: bool
 
 
-class InstanceStatus(msgspec.Struct, frozen=True):
+class InstancePage(msgspec.Struct, frozen=True):
     """One database instance as its home here sees it. Positions are TERM:LSN."""
 
     name: str
@@ -36,7 +36,7 @@
 
     name: str
     primary: str
-    instances: list[InstanceStatus]
+    instances: list[InstancePage]
     open_transactions: int
     commits_waiting: int
 
--- a/src/orchidwind/elected/network/peer_link.py
+++ b/src/orchidwind/elected/network/peer_link.py
@@ -14,7 +14,7 @@
 
 from orchidwind.elected.network import codec
 from orchidwind.elected.network.frame_stream import LINK_BUFFER_BYTES, FrameStream
-from orchidwind.elected.network.link_silence import LinkActions, LinkSilence
+from orchidwind.elected.network.link_silence import LinkActions, LinkSilenceTimer
 from orchidwind.shared.core.errors import PeerUnavailable
 from orchidwind.shared.silence import ConnectionKind, SilentConnection, log_silent
 from orchidwind.shared.sockets import watchful
@@ -57,7 +57,7 @@
         self._connecting: asyncio.Lock = asyncio.Lock()
         self._pending: dict[int, PendingAnswer] = {}
         self._reader: asyncio.Task[None] | None = None
-        self._silence: LinkSilence | None = None
+        self._silence: LinkSilenceTimer | None = None
 
     @property
     def address(self) -> tuple[str, int]:
@@ -79,7 +79,7 @@
             watchful(stream.socket)
             stream.write(codec.encode_frame(codec.Hello(self._own)))
             self._stream = stream
-            self._silence = LinkSilence(self._actions(stream))
+            self._silence = LinkSilenceTimer(self._actions(stream))
             self._reader = asyncio.create_task(self._read(stream))
 
     async def execute(self, message: codec.Execute) -> PendingAnswer:
--- a/src/orchidwind/elected/network/status_queries.py
+++ b/src/orchidwind/elected/network/status_queries.py
@@ -1,6 +1,6 @@
 """The status connections of a home: one to each instance, opened when it is first asked.
 
-Owns these connections; `core/instance_status.py` decides when to ask, and when an answer is late.
+Owns these connections; `core/instance_reports.py` decides when to ask, and when an answer is late.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 from orchidwind.elected.core.group_effects import PollInstance
 from orchidwind.elected.core.group_view import InstanceReport
-from orchidwind.elected.network.instance_targets import INSTANCE_CONNECT_SECONDS, InstanceTargets
+from orchidwind.elected.network.instance_targets import DATABASE_CONNECT_SECONDS, InstanceTargets
 from orchidwind.elected.network.observer import Observer
 from orchidwind.shared.core.errors import BackendConnectionLost, BackendRefused
 from orchidwind.shared.logs import log_event
@@ -59,7 +59,7 @@
             status = await observer.ask()
         except TimeoutError:
             # The group has counted the query as overdue long ago, and asked again.
-            log_event("observer_not_opened", instance=instance, seconds=INSTANCE_CONNECT_SECONDS)
+            log_event("observer_not_opened", instance=instance, seconds=DATABASE_CONNECT_SECONDS)
             return
         except (BackendConnectionLost, BackendRefused, OSError):
             self.reset(instance)
@@ -79,7 +79,7 @@
     async def _observer(self, instance: str) -> Observer:
         observer = self._observers.get(instance)
         if observer is None or observer.broken:
-            async with asyncio.timeout(INSTANCE_CONNECT_SECONDS):
+            async with asyncio.timeout(DATABASE_CONNECT_SECONDS):
                 observer = await Observer.open(self._targets.for_status(instance))
             self._observers[instance] = observer
         return observer
--- a/src/orchidwind/promoted/core/change_reasons.py
+++ b/src/orchidwind/promoted/core/change_reasons.py
@@ -89,7 +89,7 @@
         return claiming[0] if len(claiming) == 1 else ""
 
     def _leaves(self, instance: str, now: float) -> bool:
-        """Whether an instance announced its end, or left the directory alone of its group."""
+        """Whether an instance announced its end or left the directory, with another that stays."""
         view = self._topology.instances.get(instance)
         if view is None:
             return False
--- a/src/orchidwind/promoted/core/circuit_breaker.py
+++ b/src/orchidwind/promoted/core/circuit_breaker.py
@@ -3,8 +3,9 @@
 What for: a request that would only wait until its deadline is refused, and its caller goes
 elsewhere. A request relies on up to three things: an instance that serves it, a proof that the
 primary still leads, and a primary that confirms commits. Each has a circuit breaker, which opens
-when it has failed for longer than its patience without a success. While it is open one request is
-let through each PROBE_SECONDS, and the first success closes it.
+when a failure was reported and no success for so many seconds since it began. While it is open one
+request is let through each PROBE_SECONDS, and the first success closes it. When the caller may
+come back is a matter of the refusal's kind (`shared/core/errors.py`).
 
 Owns: the three breakers of one group, their times, and the kind and text of each refusal.
 Relies on: callers that report each success and failure, with times in seconds of one steady clock.
@@ -22,11 +23,12 @@
 # waits in vain, and service is back a quarter of a second after its cause.
 PROBE_SECONDS = 0.25
 
-# Patience with instances, seconds. Chosen: a change of primary takes about a second
-# (docs/PLATFORM.md); one that takes longer waits for what this proxy does not reach.
+# For how long no instance is found until requests are refused, seconds. Chosen: a change of primary
+# takes about a second (docs/DECISIONS.md); one that takes longer waits for what this proxy does not
+# reach.
 NOT_FOUND_SECONDS = 1.5
 
-# Patience with proofs of the lead, seconds. Chosen: reading the lock takes some milliseconds and a
+# The same for proofs of the lead, seconds. Chosen: reading the lock takes some milliseconds and a
 # query of a replica as long as a statement, so a proof that takes longer is not to be had soon.
 NOT_PROVEN_SECONDS = 0.4
 
--- a/src/orchidwind/promoted/core/commit_acknowledgement.py
+++ b/src/orchidwind/promoted/core/commit_acknowledgement.py
@@ -8,15 +8,16 @@
    primary waits for the end of all leases, and reads afterwards who may have confirmed.
 2. `verdict_by_successor`: a change of primary is over, and the new primary's log began with the
    commit in it. Began it without, the commit is left out for good.
-3. `verdict_by_replicas`: a listed replica that is not about to leave holds the commit, and all
-   listed instances answer that they are neither fenced nor know of a later term (under the lease:
-   those that answer). Whoever fences them afterwards finds the commit there.
+3. `verdict_by_replicas`: as many listed replicas as must receive a commit, at least one, hold it
+   and are not about to leave, and all listed instances answer that they are neither fenced nor
+   know of a later term (under the lease: those that answer). Whoever fences them afterwards finds
+   the commit there.
 
 None of them acknowledges where the roster names a later promotion that may have taken effect out
 of this proxy's sight. While nothing is proven, the driver asks again after `PROOF_RETRY_SECONDS`;
 how long it may go on is the deadline of the caller's request.
 
-Measured with the whole rule removed: ten scripted days of `test_change_of_primary.py` and
+With the whole rule removed scripted days of `test_change_of_primary.py` and
 `test_commits_under_faults.py` (tests/promoted) break promises, 4 to 250 times each (one play).
 
 Owns: nothing. Relies on: `lead_proof` for the lease, `log_positions` for what a log holds,
--- a/src/orchidwind/promoted/core/confirming_instances.py
+++ b/src/orchidwind/promoted/core/confirming_instances.py
@@ -186,9 +186,9 @@
         sources: dict[str, str] = {}
         for name, view in self._instances.items():
             entry = "listed" if view.listed else f"gone:{now - view.gone_at:.3f}s"
-            answered = "never_heard"
+            answered = "never_answered"
             if view.last_answer_at > 0:
-                answered = f"heard:{now - view.last_answer_at:.3f}s"
+                answered = f"answered:{now - view.last_answer_at:.3f}s"
             counted = "" if self._may_have_confirmed(view) else ":uncounted"
             sources[name] = f"{entry}:{answered}{counted}"
         for name, at in self._roster_only.items():
--- a/src/orchidwind/promoted/core/failover_choice.py
+++ b/src/orchidwind/promoted/core/failover_choice.py
@@ -25,11 +25,11 @@
 from orchidwind.promoted.core.failover_steps import FailoverPlan, Statuses
 from orchidwind.promoted.core.log_positions import holds
 
-# Attempts before a demoted primary's own log is taken. Chosen: three attempts are 0.1 s and what
-# the calls take; a replica of its log is better, as the primary was demoted for a reason.
+# Attempts before a demoted primary's own log is taken. Chosen: three attempts are 0.15 s and
+# what the calls take; a replica of its log is better, as the primary was demoted for a reason.
 ATTEMPTS_FOR_ANOTHER = 3
-# Attempts before a log that is shorter than what proxies may have acknowledged is taken: 0.05 to
-# 0.12 s. Chosen: an instance that holds the rest may be listed a little late.
+# Attempts before a log that is shorter than what proxies may have acknowledged is taken: 0.1 to
+# 0.24 s. Chosen: an instance that holds the rest may be listed a little late.
 ATTEMPTS_FOR_ACKNOWLEDGED = 2
 
 
--- a/src/orchidwind/promoted/core/failover_members.py
+++ b/src/orchidwind/promoted/core/failover_members.py
@@ -22,8 +22,9 @@
     Wait,
 )
 
-# Seconds from the first commit that an instance confirms until its entry is listed: it tells the
-# store at once, 12 to 14 ms were measured with replacements of the first users; four times that.
+# Seconds from the first commit that an instance confirms until its entry is listed: it writes
+# its entry at once, within 12 to 14 ms (docs/incidents/2026-12-02-dakar-lost.md); four times that.
+# One that is listed later is missed: docs/DECISIONS.md, "What a change of primary rests on".
 LISTING_SECONDS = 0.06
 
 
--- a/src/orchidwind/promoted/core/freshness.py
+++ b/src/orchidwind/promoted/core/freshness.py
@@ -185,7 +185,10 @@
         return self._age.age(now)
 
     def too_old(self, now: float) -> bool:
-        """Whether the view is older than the promise that rests on it allows."""
+        """Whether the view is older than the promise that rests on it allows.
+
+        A sign for operators (`view_too_old`): requests are served on.
+        """
         return self._age.too_old(now)
 
     def confirmed(self, as_of: float) -> None:
--- a/src/orchidwind/promoted/core/homes.py
+++ b/src/orchidwind/promoted/core/homes.py
@@ -29,8 +29,8 @@
 CONNECTIONS_OF_A_HOME = 6
 # One can be lost, and requests still have a home in their zone.
 MOST_HOMES_A_ZONE = 2
-# How many groups a proxy may be home of before more proxies of the zone share them. Four groups and
-# 750 requests a second kept the busiest of ten homes at 0.07 of a core (docs/CAPACITY.md).
+# How many groups a proxy may be home of before more proxies of the zone share them. Chosen: with as
+# many, the busiest home of 195 proxies spent 0.07 of a core on a calm day (docs/CAPACITY.md).
 GROUPS_OF_A_HOME = 10
 # Connections that a home opens at least, whatever its share. Chosen: a transaction that rests must
 # not stop all other requests; an instance that is over its limit refuses the others.
--- a/src/orchidwind/promoted/core/instance_silence.py
+++ b/src/orchidwind/promoted/core/instance_silence.py
@@ -12,10 +12,10 @@
 3. An instance that has delivered nothing on any connection meanwhile is a suspect: the supervisor
    asks for its status. One that does not answer within `status_time_limit` is unreachable.
 4. A connection that a transaction holds while its caller thinks is asked once it has delivered
-   nothing for REST_PROBE_SECONDS.
+   nothing for HELD_REST_PROBE_SECONDS.
 
 Owns: the times of these steps. Relies on: callers that pass times in seconds of one steady clock.
-docs/PLATFORM.md ("Whatever lives longer than one exchange shows that it is alive") has the effects.
+docs/SILENCE.md, "Connections (promoted groups)", has the effects.
 """
 
 from __future__ import annotations
@@ -34,12 +34,12 @@
 CONNECTION_CHECK_PAUSE_SECONDS = 1.0
 
 # Time that a new connection to an instance has to open, seconds. Chosen, below the shortest
-# statement time-out (0.8 s); 12 to 32 ms were measured on the first users' sites
-# (shared/core/pool.py), 100 ms were too few where the instance is in another region.
+# statement time-out (0.8 s); one takes 12 to 32 ms, more where the instance is in another region
+# (docs/DECISIONS.md, "Homes for promoted groups").
 INSTANCE_CONNECT_SECONDS = 0.6
 
 # Time that a status or control call has, seconds. Chosen: more than a new connection in another
-# region takes, for which 100 ms were too few; how soon a lost primary is noticed depends on it.
+# region takes; how soon a lost primary is noticed depends on it.
 STATUS_SECONDS = 0.2
 
 # The same where a change of primary waits for an instance that did not answer last time. Chosen:
@@ -51,7 +51,8 @@
 FIRST_STATUS_SECONDS = INSTANCE_CONNECT_SECONDS
 
 # A status call without an answer for so many seconds is repeated on a new connection. Chosen,
-# below HURRIED_STATUS_SECONDS and about twice the time that a new connection takes (12 to 32 ms).
+# below HURRIED_STATUS_SECONDS and about twice the time that a new connection takes (12 to 32 ms);
+# in a hurried call the second one has hardly time left.
 STATUS_HEDGE_SECONDS = 0.06
 
 # A status call to an instance is hedged at most once in so many seconds. Chosen: a new connection
@@ -63,8 +64,8 @@
 SILENT_AFTER_NEW_SECONDS = 0.05
 
 # A held connection at rest is asked once it has delivered nothing for so many seconds. Measured:
-# no message more at 3 requests a second a proxy, 3 % at 1 and 10 % at 0.4 (docs/PLATFORM.md).
-REST_PROBE_SECONDS = 1.0
+# no message more at 3 requests a second a proxy, 3 % at 1 and 10 % at 0.4 (docs/SILENCE.md).
+HELD_REST_PROBE_SECONDS = 1.0
 
 # Held connections are looked through each so many seconds. Chosen: with the two times beside it,
 # a silent one at rest is found within 1.65 s, below the shortest rest of a transaction (3 s).
@@ -113,7 +114,7 @@
 
 def rest_probe_before(now: float) -> float:
     """A held connection at rest is asked where it has delivered nothing since this time."""
-    return now - REST_PROBE_SECONDS
+    return now - HELD_REST_PROBE_SECONDS
 
 
 def resting_answer_time_left(asked_at: float, now: float) -> float:
--- a/src/orchidwind/promoted/core/instance_view.py
+++ b/src/orchidwind/promoted/core/instance_view.py
@@ -23,8 +23,8 @@
 # Seconds for which others are preferred to an instance that refused work beyond its queue. Chosen:
 # short, so that an instance whose queue has room again is not left idle.
 _BUSY_PAUSE_SECONDS = 0.02
-# Seconds for which a busy instance gets no read that can wait elsewhere: a full queue of the first
-# users' instances takes 0.1 to 0.3 s to run empty.
+# Seconds for which a primary that refused work counts as having no room, so that replicas are not
+# passed over for it: a full queue of the first users' instances takes 0.1 to 0.3 s to run empty.
 _BUSY_RECENTLY_SECONDS = 0.3
 # Seconds for which others are preferred to an instance that did not answer. Chosen: by then a
 # status query (`supervision`) has shown whether it is back.
--- a/src/orchidwind/promoted/core/promotion_lock.py
+++ b/src/orchidwind/promoted/core/promotion_lock.py
@@ -22,8 +22,8 @@
 # Seconds from the sending of the call that took the lock for which its holder uses it. Chosen: the
 # wait for leases, and twelve attempts to find a candidate (`failover`), fit in.
 HOLD_SECONDS = 3.0
-# Seconds that a promotion call may still be under way when its caller's hold has ended, with some
-# tenths for it to take effect. Chosen.
+# Seconds that a promotion call may still be under way when its caller's hold has ended: the call's
+# limit, and chosen, some tenths for it to take effect.
 _LATE_PROMOTION_SECONDS = 1.3
 # Seconds after which others take over a lock that has not changed.
 TAKE_OVER_SECONDS = HOLD_SECONDS + _LATE_PROMOTION_SECONDS
--- a/src/orchidwind/promoted/core/read_planning.py
+++ b/src/orchidwind/promoted/core/read_planning.py
@@ -7,7 +7,7 @@
 
 - has not failed this very read, and answers;
 - was not found a moment ago to lack the floor (unless there is no primary);
-- did not refuse work a moment ago, while the primary could take the read instead.
+- did not refuse work or fail to answer a moment ago, while the primary could take the read.
 
 Without such a floor or replica it runs on the primary, as a read of the latest state.
 
--- a/src/orchidwind/promoted/core/supervision.py
+++ b/src/orchidwind/promoted/core/supervision.py
@@ -34,8 +34,9 @@
 # while something is; a part of the times that it watches for (`change_reasons`).
 CALM_INTERVAL_SECONDS = 0.5
 TROUBLED_INTERVAL_SECONDS = 0.03
-# Seconds before the next try, by how the last one ended. Chosen: longer than the news of its end
-# take, and much shorter than a change.
+# Seconds before the next try, by how the last one ended; after a failure (NOT_SAFE, LOCK_LOST) they
+# are doubled at once, to 0.5 or 0.6 s, then to 1.0 or 1.2 s. Chosen: longer than the news of its
+# end take, and much shorter than a change.
 _PAUSE_AFTER: dict[FailoverOutcome, float] = {
     FailoverOutcome.DONE: 0.2,
     FailoverOutcome.NOT_NEEDED: 0.3,
@@ -43,7 +44,8 @@
     FailoverOutcome.LOCK_LOST: 0.3,
     FailoverOutcome.NOT_SAFE: 0.25,
 }
-# How often the pause doubles while tries fail: up to 1 or 1.2 s. Chosen.
+# How often the pause doubles while tries fail. Chosen: a change that cannot be made now is looked
+# into about once a second.
 _MOST_DOUBLINGS = 2
 
 assert STATUS_RETRY_SECONDS < LONGEST_STATUS_RETRY_SECONDS
--- a/src/orchidwind/promoted/group/commit_guard.py
+++ b/src/orchidwind/promoted/group/commit_guard.py
@@ -1,4 +1,4 @@
-"""Holds a commit's answer back until the commit may be acknowledged, or is known to be left out.
+"""Asks the rule for one commit until it may be acknowledged or is known to be left out.
 
 What for: `core/commit_acknowledgement.py` has the rule; this gathers its inputs for one group, asks
 the listed instances for their statuses, and tries again while nothing is proven.
@@ -29,7 +29,6 @@
 from orchidwind.promoted.core.topology import GroupTopology
 from orchidwind.promoted.group.lead_prover import AskStatus, LeadProver
 from orchidwind.promoted.group.shared_query import SharedQuery
-from orchidwind.shared.core.positions import Position
 
 
 @dataclass(frozen=True, slots=True)
@@ -55,19 +54,18 @@
         self._loop = asyncio.get_running_loop()
         self._round: SharedQuery[_StatusRound] = SharedQuery(self._ask_listed)
 
-    def leased(self, instance: str) -> bool:
-        """Whether the lead lease covers a commit of a primary at this moment."""
-        return self._prover.leased(instance, self._loop.time())
+    def lease_acknowledges(self, commit: ConfirmedCommit) -> bool:
+        """Whether the lead lease alone lets a commit be acknowledged at this moment."""
+        return self._verdict_by_lease(commit) is CommitVerdict.ACKNOWLEDGE
 
     async def may_acknowledge(
-        self, instance: str, position: Position, on_unproven: Callable[[], None]
+        self, commit: ConfirmedCommit, on_unproven: Callable[[], None]
     ) -> bool:
-        """Wait until a commit up to a position may be acknowledged, False where it is left out.
+        """Wait until a commit may be acknowledged, False where it is left out.
 
         Ends when it is cancelled where neither is found. `on_unproven` is called after each attempt
         that proved nothing.
         """
-        commit = ConfirmedCommit(instance, position)
         while True:
             verdict = self._verdict_without_asking(commit)
             if verdict is CommitVerdict.NOT_PROVEN:
@@ -77,11 +75,14 @@
             on_unproven()
             await asyncio.sleep(PROOF_RETRY_SECONDS)
 
-    def _verdict_without_asking(self, commit: ConfirmedCommit) -> CommitVerdict:
+    def _verdict_by_lease(self, commit: ConfirmedCommit) -> CommitVerdict:
         self._prover.want_lease()
         term = self._topology.primary_term(commit.primary)
         lease = self._prover.evidence(commit.primary, term, self._loop.time())
-        verdict = verdict_by_lease(commit, lease)
+        return verdict_by_lease(commit, lease)
+
+    def _verdict_without_asking(self, commit: ConfirmedCommit) -> CommitVerdict:
+        verdict = self._verdict_by_lease(commit)
         if verdict is not CommitVerdict.NOT_PROVEN:
             return verdict
         last = self._topology.last_promotion
--- a/src/orchidwind/promoted/group/exchanges.py
+++ b/src/orchidwind/promoted/group/exchanges.py
@@ -137,7 +137,7 @@
             self._breakers.commit_waited(waited)
 
     async def _acknowledge(self, sent: _SentExchange, reply: Reply) -> None:
-        self._writes.acknowledged(sent.instance, self._loop.time())
+        self._writes.confirmed(sent.instance, self._loop.time())
         self._breakers.succeeded(Dependency.COMMIT)
         await self._commits.wait(sent.instance, sent.step.messages[-1], reply)
 
--- a/src/orchidwind/promoted/group/failover_runner.py
+++ b/src/orchidwind/promoted/group/failover_runner.py
@@ -207,4 +207,4 @@
         f":{item.received.term}.{item.received.lsn}:{item.fence_term}"
         for item in statuses.values()
     ]
-    log_event("failover_step", step=type(step).__name__, told=" ".join(answers))
+    log_event("failover_step", step=type(step).__name__, answers=" ".join(answers))
--- a/src/orchidwind/promoted/group/held_commits.py
+++ b/src/orchidwind/promoted/group/held_commits.py
@@ -12,6 +12,7 @@
 
 from orchidwind.promoted.core.circuit_breaker import Dependency
 from orchidwind.promoted.core.commands import InstanceMessage, Reply
+from orchidwind.promoted.core.commit_acknowledgement import ConfirmedCommit
 from orchidwind.promoted.core.topology import GroupTopology
 from orchidwind.promoted.group.commit_guard import CommitGuard
 from orchidwind.promoted.group.group_breakers import GroupBreakers
@@ -29,7 +30,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Commit:
+class _AcknowledgedCommit:
     request_id: str
     position: Position
 
@@ -52,41 +53,41 @@
         self._leases = leases
         self._breakers = breakers
         self._loop = asyncio.get_running_loop()
-        self._remembered: deque[_Commit] = deque(maxlen=_COMMITS_REMEMBERED)
+        self._remembered: deque[_AcknowledgedCommit] = deque(maxlen=_COMMITS_REMEMBERED)
 
     async def wait(self, instance: str, asked: InstanceMessage, reply: Reply) -> None:
         """Return when a commit may be acknowledged; BackendConnectionLost where it is left out."""
         position = reply.position or Position(self._topology.primary_term(instance), 0)
-        commit = _Commit(asked.request_id, position)
-        if not self._guard.leased(instance):
-            await self._wait_for_proof(instance, commit)
+        commit = ConfirmedCommit(instance, position)
+        if not self._guard.lease_acknowledges(commit):
+            await self._wait_for_proof(commit, asked.request_id)
         self._leases.note_acknowledged(self._topology.settings.name, position)
-        self._remembered.append(commit)
+        self._remembered.append(_AcknowledgedCommit(asked.request_id, position))
         self._breakers.succeeded(Dependency.LEAD_PROOF)
 
-    async def _wait_for_proof(self, instance: str, commit: _Commit) -> None:
+    async def _wait_for_proof(self, commit: ConfirmedCommit, request_id: str) -> None:
         began = self._loop.time()
         outcome = "out_of_time"
         try:
             proven = await self._guard.may_acknowledge(
-                instance,
-                commit.position,
-                lambda: self._breakers.failed(Dependency.LEAD_PROOF, began),
+                commit, lambda: self._breakers.failed(Dependency.LEAD_PROOF, began)
             )
             outcome = "acknowledged" if proven else "left_out"
         finally:
-            self._log_wait(instance, commit, outcome, self._loop.time() - began)
+            self._log_wait(commit, request_id, outcome, self._loop.time() - began)
         if outcome != "acknowledged":
             raise BackendConnectionLost("a change of primary has left the commit out", sent=True)
 
-    def _log_wait(self, instance: str, commit: _Commit, outcome: str, seconds: float) -> None:
+    def _log_wait(
+        self, commit: ConfirmedCommit, request_id: str, outcome: str, seconds: float
+    ) -> None:
         if outcome == "acknowledged" and seconds <= _WAIT_LOGGED_SECONDS:
             return
         log_event(
             "commit_held",
-            request_id=commit.request_id,
+            request_id=request_id,
             group=self._topology.settings.name,
-            instance=instance,
+            instance=commit.primary,
             position=f"{commit.position.term}.{commit.position.lsn}",
             outcome=outcome,
             milliseconds=int(seconds * 1000),
--- a/src/orchidwind/promoted/peers/long_sends.py
+++ b/src/orchidwind/promoted/peers/long_sends.py
@@ -9,9 +9,9 @@
 import asyncio
 from collections.abc import Awaitable, Callable
 
-# So many long contents wait to be sent. Chosen: one of 2,855 databases has 146 KB, which take
-# 0.12 s of a link of 10 Mbit/s; with more of them waiting, the last ones would come after their
-# askers had given up (docs/DECISIONS.md).
+# So many long contents wait to be sent. Chosen: 13 askers of 2,855 databases take 1.5 s of
+# a link of 10 Mbit/s (docs/DECISIONS.md, "Long contents of a view come from the store"), 0.12 s
+# each; with more of them waiting, the last ones would come after their askers had given up.
 MOST_WAITING_LONG_SENDS = 4
 
 
--- a/src/orchidwind/shared/core/admission.py
+++ b/src/orchidwind/shared/core/admission.py
@@ -3,7 +3,8 @@
 Each traffic class has a weight, a bound on its queue, and a deadline. The order is by virtual
 finish time (start-time fair queueing), so a heavy class gets its share and a light one is never
 starved. A request that cannot start before its deadline is refused on arrival, with the time
-after which the queue will have drained.
+after which its queue will have drained; one that expires in the queue, with the time in which a
+single slot would serve all that wait.
 
 Owns: the queues and the estimate of how long a request holds a connection. Relies on its user for
 the time, in seconds of one steady clock, and for the number of slots.
--- a/src/orchidwind/shared/core/concurrency_window.py
+++ b/src/orchidwind/shared/core/concurrency_window.py
@@ -21,7 +21,7 @@
 _SMALLEST_WINDOW = 1.0
 # Factor of the window at a rejection. Chosen, milder than the usual half: of a few slots the half
 # stays idle until the window has grown again. Measured for the window as a whole: 2,482 rejections
-# on a calm day of the grown site (docs/CAPACITY.md), 10,058 without it.
+# on a calm day of the grown site, 23,057 before (docs/CAPACITY.md).
 _DECREASE = 0.7
 # Seconds for which rejections count as one: a full queue rejects many requests at the same moment.
 # Chosen: below the 0.1 to 0.3 s in which a full queue of the first users' instances runs empty.
--- a/src/orchidwind/shared/core/pool.py
+++ b/src/orchidwind/shared/core/pool.py
@@ -31,8 +31,8 @@
 # (docs/CAPACITY.md).
 _TRY_LIMIT_SECONDS = 0.25
 # Connections opened at once for requests that wait. Each new one holds a slot of the instance for
-# longer than a request does (measured: 12 to 32 ms on the first users' sites): opened all at once,
-# they hold up the requests that they were opened for.
+# longer than a request does (12 to 32 ms, docs/DECISIONS.md, "Homes for promoted groups"): opened
+# all at once, they hold up the requests that they were opened for.
 MOST_OPENING = 2
 
 
