--- a/src/orchidwind/elected/core/caller_session.py
+++ b/src/orchidwind/elected/core/caller_session.py
@@ -1,4 +1,8 @@
-"""What a caller's proxy remembers of one session: its floor, its settings, its transaction."""
+"""What a caller's proxy remembers of one session: its floor, its settings, its transaction.
+
+For: the front, which asks for a plan of each text. Owns: that state, which ends with the connection
+unless the caller carries a token. Relies on: `classification.py` for what a text may do.
+"""
 
 from __future__ import annotations
 
--- a/src/orchidwind/elected/core/configuration.py
+++ b/src/orchidwind/elected/core/configuration.py
@@ -1,4 +1,8 @@
-"""The operators' file: databases, zones, traffic classes and users, checked as a whole."""
+"""The operators' file: databases, zones, traffic classes and users, checked as a whole.
+
+For: `orchidwind check` and `apply`, and every proxy that takes a version. Owns: the keys of the
+file and of the stored object. Errors: SettingsError with the path of the key.
+"""
 
 from __future__ import annotations
 
--- a/src/orchidwind/elected/core/group_effects.py
+++ b/src/orchidwind/elected/core/group_effects.py
@@ -1,4 +1,8 @@
-"""The options of a home's group, and the effects that its driver carries out."""
+"""The options of a home's group, and the effects that its driver carries out.
+
+For: `home_group.py`, which returns them, and `network/group_runner.py`, which carries them out.
+Owns: the types alone.
+"""
 
 from __future__ import annotations
 
--- a/src/orchidwind/elected/core/named_write.py
+++ b/src/orchidwind/elected/core/named_write.py
@@ -1,4 +1,8 @@
-"""The flow of a write that its caller named: it runs at most once, whatever is repeated."""
+"""The flow of a write that its caller named: it runs at most once, whatever is repeated.
+
+For: `home_group.py`. Owns: the order of ledger row, statement and commit. Relies on: `ledger.py`
+for the row, `retries.py` for what is tried again.
+"""
 
 from __future__ import annotations
 
--- a/src/orchidwind/elected/core/statements.py
+++ b/src/orchidwind/elected/core/statements.py
@@ -1,4 +1,7 @@
-"""Statements, requests and outcomes, as they pass between a caller's proxy and a home proxy."""
+"""Statements, requests and outcomes, as they pass between a caller's proxy and a home proxy.
+
+Owns: the types alone. Relies on: the callers' edge for raw values, which pass through unread.
+"""
 
 from __future__ import annotations
 
--- a/src/orchidwind/elected/core/steps.py
+++ b/src/orchidwind/elected/core/steps.py
@@ -1,4 +1,8 @@
-"""The steps that a request's flow asks its driver for."""
+"""The steps that a request's flow asks its driver for.
+
+For: `flows.py` and `named_write.py`, which yield them, and `request_steps.py`, which performs them.
+Owns: nothing but their types. Errors are thrown into the flow at the step that failed.
+"""
 
 from __future__ import annotations
 
--- a/src/orchidwind/elected/daemon.py
+++ b/src/orchidwind/elected/daemon.py
@@ -1,4 +1,8 @@
-"""One proxy process: callers' listener, home service, links, membership, platform watch."""
+"""One proxy process of elected groups: listener, home service, links, membership, object API.
+
+Owns: the order in which the parts start and stop. Relies on: settings that were checked; errors in
+the parts are theirs to log.
+"""
 
 from __future__ import annotations
 
--- a/src/orchidwind/elected/network/cluster.py
+++ b/src/orchidwind/elected/network/cluster.py
@@ -1,4 +1,9 @@
-"""What a node knows of the cluster: members, links to them, configuration, and the roles."""
+"""What a proxy knows of the others: members, links to them, configuration, and the roles.
+
+For: the front, which asks for a home, and the home service, which asks for its placement. Owns: the
+links by proxy, the history of configurations, and whether this proxy watches the object API.
+Relies on: `core/membership.py` for who is there and `core/placement.py` for who is home of what.
+"""
 
 from __future__ import annotations
 
--- a/src/orchidwind/elected/network/datagrams.py
+++ b/src/orchidwind/elected/network/datagrams.py
@@ -1,4 +1,8 @@
-"""Membership over UDP: the socket and the timer round the core class."""
+"""Membership over UDP: the socket and the timer round the core class.
+
+Owns: the socket, and the time of the next call. Relies on: `core/membership.py` for every
+decision; a datagram that is lost or not understood is as one that was never sent.
+"""
 
 from __future__ import annotations
 
--- a/src/orchidwind/elected/network/home_service.py
+++ b/src/orchidwind/elected/network/home_service.py
@@ -1,4 +1,9 @@
-"""The databases that this node is home of."""
+"""The databases that this proxy is home of.
+
+For: requests of this proxy's callers and those that come over links. Owns: a group runner for each
+database, and the channels of open transactions. Relies on: the cluster for placement and
+configuration; `group_runner.py` runs what a group decides.
+"""
 
 from __future__ import annotations
 
--- a/src/orchidwind/elected/network/link_messages.py
+++ b/src/orchidwind/elected/network/link_messages.py
@@ -1,4 +1,8 @@
-"""Requests and outcomes as they go over a link between proxies, and back."""
+"""Requests and outcomes as they go over a link between proxies, and back.
+
+For: both ends of a link. Owns: the translation between `core/statements.py` and the records of
+`codec.py`. Relies on: ids of both enums staying as the schema has them.
+"""
 
 from __future__ import annotations
 
--- a/src/orchidwind/elected/network/object_api_watch.py
+++ b/src/orchidwind/elected/network/object_api_watch.py
@@ -1,4 +1,8 @@
-"""Follows the platform's configuration object while this node has the watcher role."""
+"""Follows the object API's configuration object while this proxy has the watcher role.
+
+Owns: the watch, its pauses, and the list of machines that was read last. Relies on: the cluster for
+the role and for passing a new configuration on; while the API is down nothing is lost but news.
+"""
 
 from __future__ import annotations
 
--- a/src/orchidwind/elected/network/observer.py
+++ b/src/orchidwind/elected/network/observer.py
@@ -1,4 +1,8 @@
-"""Asks one database instance for its role, term and log positions."""
+"""Asks one database instance for its role, term and log positions.
+
+For: `status_queries.py`. Owns: one connection as the status user. Relies on: a user that may use
+reserved connections and read `pg_stat_wal_receiver` (docs/OPERATIONS.md).
+"""
 
 from __future__ import annotations
 
--- a/src/orchidwind/elected/network/operator_http.py
+++ b/src/orchidwind/elected/network/operator_http.py
@@ -1,4 +1,8 @@
-"""The operators' HTTP port: `/metrics`, `/healthz`, `/readyz`, `/status`, `POST /drain`."""
+"""The operators' HTTP port: `/metrics`, `/healthz`, `/readyz`, `/status`, `POST /drain`.
+
+Owns: the forms that operators and their programs read. Relies on: the daemon (`Operated`) for what
+they show; nothing is decided here.
+"""
 
 from __future__ import annotations
 
--- a/src/orchidwind/elected/postgres/executor.py
+++ b/src/orchidwind/elected/postgres/executor.py
@@ -1,4 +1,7 @@
-"""What is behind a server session: the interface between the protocol and its work."""
+"""What is behind a server session: the interface between the protocol and its work.
+
+For: `server_session.py`, which asks, and the front and the stand-in database, which answer.
+"""
 
 from __future__ import annotations
 
--- a/src/orchidwind/elected/postgres/listener.py
+++ b/src/orchidwind/elected/postgres/listener.py
@@ -1,4 +1,8 @@
-"""Accepts callers' connections and keeps the table that cancel requests need."""
+"""Accepts callers' connections.
+
+Owns: the table of process ids and secrets that cancel requests need. Relies on: `server_session.py`
+for each connection.
+"""
 
 from __future__ import annotations
 
--- a/src/orchidwind/elected/postgres/output.py
+++ b/src/orchidwind/elected/postgres/output.py
@@ -1,4 +1,8 @@
-"""Writes answers to a caller: gathered in a buffer, as they come, or held for a portal."""
+"""Writes answers to a caller: gathered in a buffer, as they come, or held for a portal.
+
+Owns: what is not sent yet. Relies on: a caller that reads; one that does not is held back by the
+size of the buffer.
+"""
 
 from __future__ import annotations
 
--- a/src/orchidwind/elected/postgres/portals.py
+++ b/src/orchidwind/elected/postgres/portals.py
@@ -1,4 +1,7 @@
-"""Prepared statements and portals of one session of the extended query protocol."""
+"""Prepared statements and portals of one session of the extended query protocol.
+
+For: `extended_query.py`. Owns: their names, and the rows of a portal that was not read to its end.
+"""
 
 from __future__ import annotations
 
--- a/src/orchidwind/elected/postgres/session_host.py
+++ b/src/orchidwind/elected/postgres/session_host.py
@@ -1,4 +1,7 @@
-"""What the sessions of a listener ask of the program that listens."""
+"""What the sessions of a listener ask of the program that listens.
+
+For: `login.py` and `server_session.py`; the daemon and the stand-in database answer.
+"""
 
 from __future__ import annotations
 
--- a/src/orchidwind/platform/promotions.py
+++ b/src/orchidwind/platform/promotions.py
@@ -1,4 +1,8 @@
-"""The platform's promotion call. Source: the users' page PROTOCOL.md, "Singleton duties"."""
+"""The platform's promotion call: its form, its answers, and what each of them proves.
+
+For: `group/failover_runner.py`. Owns nothing. A call without an answer has an unknown outcome,
+which the runner settles by asking the instances.
+"""
 
 from __future__ import annotations
 
--- a/src/orchidwind/promoted/callers/command_runner.py
+++ b/src/orchidwind/promoted/callers/command_runner.py
@@ -11,7 +11,6 @@
 import asyncio
 import random
 
-from orchidwind.promoted.callers.flow_driver import drive
 from orchidwind.promoted.core.command_limits import TimeLimits, spread_pause, traffic_class
 from orchidwind.promoted.core.commands import CommandResult, MessageKind
 from orchidwind.promoted.core.flow_parts import CommandContext
@@ -28,6 +27,7 @@
     WaitForProof,
     WaitForReadPlan,
 )
+from orchidwind.promoted.flow_driver import drive
 from orchidwind.promoted.group.group_service import GroupService
 from orchidwind.shared.core.errors import BackendConnectionLost, ErrorKind, RequestError
 
--- a/src/orchidwind/promoted/callers/flow_driver.py
+++ b/src/orchidwind/promoted/flow_driver.py
@@ -1,4 +1,8 @@
-"""Drives a flow: carries out each step that it yields, and sends it the outcome."""
+"""Drives a flow: carries out each step that it yields, and sends it the outcome.
+
+For: `callers/command_runner.py` and `group/failover_runner.py`. Owns nothing. An OrchidwindError of
+a step is thrown into the flow, which decides what it means.
+"""
 
 from __future__ import annotations
 
--- a/src/orchidwind/promoted/group/failover_runner.py
+++ b/src/orchidwind/promoted/group/failover_runner.py
@@ -14,7 +14,6 @@
 from collections.abc import Awaitable, Callable, Coroutine
 from typing import Any
 
-from orchidwind.promoted.callers.flow_driver import drive
 from orchidwind.promoted.core.commands import InstanceRole, InstanceStatus
 from orchidwind.promoted.core.failover import change_primary
 from orchidwind.promoted.core.failover_steps import (
@@ -41,6 +40,7 @@
 )
 from orchidwind.promoted.core.promotion_lock import HeldLock, usable_seconds
 from orchidwind.promoted.core.roster import PromotionRecord
+from orchidwind.promoted.flow_driver import drive
 from orchidwind.promoted.group.group_service import GroupService
 from orchidwind.promoted.group.lease_keeper import LeaseKeeper
 from orchidwind.promoted.group.promotion_lock_client import PromotionLockClient
