--- a/src/orchidwind_bench/main.py
+++ b/src/orchidwind_bench/main.py
@@ -19,6 +19,10 @@
 from orchidwind_bench.elected.day import run_day
 from orchidwind_bench.elected.experiments import run_experiment
 from orchidwind_bench.elected.loaded_run import RunOptions
+from orchidwind_bench.platform.soak.instance_state import InstanceTimes
+from orchidwind_bench.platform.soak.run import read_plan
+from orchidwind_bench.platform.soak.run import soak as run_soak
+from orchidwind_bench.platform.soak.system import SoakSizes
 from orchidwind_bench.printing import (
     print_day,
     print_experiment,
@@ -30,11 +34,7 @@
 from orchidwind_bench.promoted.exploration.explorer import Explorer
 from orchidwind_bench.promoted.exploration.surroundings import ProductLogic
 from orchidwind_bench.promoted.exploration.world import SCENARIOS
-from orchidwind_bench.promoted.soak.instance_state import InstanceTimes
-from orchidwind_bench.promoted.soak.run import read_plan
-from orchidwind_bench.promoted.soak.run import soak as run_soak
-from orchidwind_bench.promoted.soak.system import SoakSizes
-from orchidwind_standins.promoted.replicated_instance import PositionTerm
+from orchidwind_standins.platform.replicated_instance import PositionTerm
 
 Experiment = Literal[
     "failover",
--- /dev/null
+++ b/src/orchidwind_bench/platform/__init__.py
@@ -0,0 +1,1 @@
+"""Bench programs that speak the first users' protocols."""
--- a/src/orchidwind_bench/promoted/soak/callers.py
+++ b/src/orchidwind_bench/platform/soak/callers.py
@@ -15,7 +15,7 @@
 from tornado.iostream import StreamClosedError
 from tornado.tcpclient import TCPClient
 
-from orchidwind_bench.promoted.soak.system import (
+from orchidwind_bench.platform.soak.system import (
     HOST,
     STALENESS_MILLISECONDS,
     THAW_SLACK_SECONDS,
--- a/src/orchidwind_bench/promoted/soak/configuration.py
+++ b/src/orchidwind_bench/platform/soak/configuration.py
@@ -13,8 +13,8 @@
 from tornado.iostream import StreamClosedError
 from tornado.tcpclient import TCPClient
 
-from orchidwind_bench.promoted.soak.callers import Record
-from orchidwind_bench.promoted.soak.system import (
+from orchidwind_bench.platform.soak.callers import Record
+from orchidwind_bench.platform.soak.system import (
     APPLY_SECONDS,
     CONTACT_SECONDS,
     HOST,
--- a/src/orchidwind_bench/promoted/soak/directory.py
+++ b/src/orchidwind_bench/platform/soak/directory.py
@@ -6,8 +6,8 @@
 import time
 from typing import Any
 
-from orchidwind_bench.promoted.soak.instance_state import HOST, SoakInstance
-from orchidwind_standins.promoted.object_store import StoreState
+from orchidwind_bench.platform.soak.instance_state import HOST, SoakInstance
+from orchidwind_standins.platform.object_store import StoreState
 
 # An entry goes after three heartbeats of 1.2 s without a write.
 ENTRY_OUTLIVES_SECONDS = 3.6
--- a/src/orchidwind_bench/promoted/soak/fault_claims.py
+++ b/src/orchidwind_bench/platform/soak/fault_claims.py
@@ -8,7 +8,7 @@
 
 import time
 
-from orchidwind_bench.promoted.soak.system import STORE, SoakSystem
+from orchidwind_bench.platform.soak.system import STORE, SoakSystem
 
 
 class FaultClaims:
--- a/src/orchidwind_bench/promoted/soak/faults.py
+++ b/src/orchidwind_bench/platform/soak/faults.py
@@ -10,12 +10,12 @@
 import random
 from functools import partial
 
-from orchidwind_bench.promoted.soak.fault_claims import FaultClaims
-from orchidwind_bench.promoted.soak.instance_faults import INSTANCE_FAULTS, InstanceFaults
-from orchidwind_bench.promoted.soak.planned_fault import PART_STEP, PARTS, PlannedFault, Undo
-from orchidwind_bench.promoted.soak.proxy_faults import PROXY_FAULTS, ProxyFaults
-from orchidwind_bench.promoted.soak.store_faults import STORE_FAULTS, StoreFaults
-from orchidwind_bench.promoted.soak.system import CONTACT_SECONDS, SoakSystem
+from orchidwind_bench.platform.soak.fault_claims import FaultClaims
+from orchidwind_bench.platform.soak.instance_faults import INSTANCE_FAULTS, InstanceFaults
+from orchidwind_bench.platform.soak.planned_fault import PART_STEP, PARTS, PlannedFault, Undo
+from orchidwind_bench.platform.soak.proxy_faults import PROXY_FAULTS, ProxyFaults
+from orchidwind_bench.platform.soak.store_faults import STORE_FAULTS, StoreFaults
+from orchidwind_bench.platform.soak.system import CONTACT_SECONDS, SoakSystem
 
 # Seconds between two faults, and how long one lasts. Chosen so that faults overlap; the regression
 # seeds draw other schedules with other figures.
--- a/src/orchidwind_bench/promoted/soak/instance_faults.py
+++ b/src/orchidwind_bench/platform/soak/instance_faults.py
@@ -8,10 +8,10 @@
 
 from collections.abc import Callable
 
-from orchidwind_bench.promoted.soak.instance_state import SoakInstance
-from orchidwind_bench.promoted.soak.instances import InstanceGroup
-from orchidwind_bench.promoted.soak.planned_fault import PART_STEP, Undo
-from orchidwind_bench.promoted.soak.system import SoakSystem
+from orchidwind_bench.platform.soak.instance_state import SoakInstance
+from orchidwind_bench.platform.soak.instances import InstanceGroup
+from orchidwind_bench.platform.soak.planned_fault import PART_STEP, Undo
+from orchidwind_bench.platform.soak.system import SoakSystem
 
 # A group grows by releases up to this size; then instances leave without a successor. Chosen: one
 # more than a run starts with unless it is given another number.
--- a/src/orchidwind_bench/promoted/soak/instance_state.py
+++ b/src/orchidwind_bench/platform/soak/instance_state.py
@@ -10,8 +10,8 @@
 from pathlib import Path
 
 from orchidwind_bench.processes import Program
-from orchidwind_standins.promoted.line_session import REPLICA
-from orchidwind_standins.promoted.replicated_instance import PositionTerm
+from orchidwind_standins.platform.line_session import REPLICA
+from orchidwind_standins.platform.replicated_instance import PositionTerm
 
 HOST = "127.0.0.1"
 ZONES = ("zone-a", "zone-b", "zone-c")
--- a/src/orchidwind_bench/promoted/soak/instances.py
+++ b/src/orchidwind_bench/platform/soak/instances.py
@@ -13,18 +13,18 @@
 
 import msgspec
 
-from orchidwind_bench.processes import Program, free_ports
-from orchidwind_bench.promoted.soak.instance_state import (
+from orchidwind_bench.platform.soak.instance_state import (
     HOST,
     ZONES,
     InstanceTimes,
     SoakInstance,
 )
-from orchidwind_standins.promoted.replicated_instance import (
+from orchidwind_bench.processes import Program, free_ports
+from orchidwind_standins.platform.replicated_instance import (
     PRIMARY,
     InstanceSettings,
 )
-from orchidwind_standins.promoted.replicated_main import RoleReport, Situation
+from orchidwind_standins.platform.replicated_main import RoleReport, Situation
 
 _START_SECONDS = 10.0
 _POLL_SECONDS = 0.005
@@ -116,7 +116,7 @@
             position_term=times.position_term,
             step_down_seconds=times.step_down,
         )
-        module = "orchidwind_standins.promoted.replicated_main"
+        module = "orchidwind_standins.platform.replicated_main"
         with (self._folder / f"{instance.name}.log").open("ab") as log:
             process = subprocess.Popen(
                 [
--- a/src/orchidwind_bench/promoted/soak/promises.py
+++ b/src/orchidwind_bench/platform/soak/promises.py
@@ -9,8 +9,8 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from orchidwind_bench.promoted.soak.callers import Record
-from orchidwind_standins.promoted.replicated_log import (
+from orchidwind_bench.platform.soak.callers import Record
+from orchidwind_standins.platform.replicated_log import (
     JournalLine,
     KeptState,
     LogEntry,
--- a/src/orchidwind_bench/promoted/soak/promotions.py
+++ b/src/orchidwind_bench/platform/soak/promotions.py
@@ -9,7 +9,7 @@
 import random
 from dataclasses import dataclass
 
-from orchidwind_bench.promoted.soak.planned_fault import PART_STEP, PARTS, PlannedFault
+from orchidwind_bench.platform.soak.planned_fault import PART_STEP, PARTS, PlannedFault
 
 # Seconds from one change of primary to the next, over all groups.
 _GAP_SECONDS = (0.9, 1.8)
--- a/src/orchidwind_bench/promoted/soak/proxy_faults.py
+++ b/src/orchidwind_bench/platform/soak/proxy_faults.py
@@ -7,9 +7,9 @@
 
 from collections.abc import Callable
 
-from orchidwind_bench.promoted.soak.fault_claims import FaultClaims
-from orchidwind_bench.promoted.soak.planned_fault import Undo
-from orchidwind_bench.promoted.soak.system import ProxyProcess, SoakSystem
+from orchidwind_bench.platform.soak.fault_claims import FaultClaims
+from orchidwind_bench.platform.soak.planned_fault import Undo
+from orchidwind_bench.platform.soak.system import ProxyProcess, SoakSystem
 
 
 class ProxyFaults:
--- a/src/orchidwind_bench/promoted/soak/run.py
+++ b/src/orchidwind_bench/platform/soak/run.py
@@ -13,15 +13,15 @@
 
 import msgspec
 
-from orchidwind_bench.promoted.soak.callers import Caller, Record
-from orchidwind_bench.promoted.soak.configuration import ConfigurationProber
-from orchidwind_bench.promoted.soak.faults import FaultPlayer, draw_schedule
-from orchidwind_bench.promoted.soak.instance_state import InstanceTimes
-from orchidwind_bench.promoted.soak.planned_fault import PlannedFault
-from orchidwind_bench.promoted.soak.promises import GroupHistory, check_group, check_tokens
-from orchidwind_bench.promoted.soak.promotions import draw_promotions
-from orchidwind_bench.promoted.soak.system import DATABASES, SoakSizes, SoakSystem
-from orchidwind_bench.promoted.soak.traces import trace
+from orchidwind_bench.platform.soak.callers import Caller, Record
+from orchidwind_bench.platform.soak.configuration import ConfigurationProber
+from orchidwind_bench.platform.soak.faults import FaultPlayer, draw_schedule
+from orchidwind_bench.platform.soak.instance_state import InstanceTimes
+from orchidwind_bench.platform.soak.planned_fault import PlannedFault
+from orchidwind_bench.platform.soak.promises import GroupHistory, check_group, check_tokens
+from orchidwind_bench.platform.soak.promotions import draw_promotions
+from orchidwind_bench.platform.soak.system import DATABASES, SoakSizes, SoakSystem
+from orchidwind_bench.platform.soak.traces import trace
 
 # The faults of the run, as JSON, in its folder.
 PLAN_FILE = "plan.json"
--- a/src/orchidwind_bench/promoted/soak/store_faults.py
+++ b/src/orchidwind_bench/platform/soak/store_faults.py
@@ -9,9 +9,9 @@
 import time
 from collections.abc import Callable
 
-from orchidwind_bench.promoted.soak.fault_claims import FaultClaims
-from orchidwind_bench.promoted.soak.planned_fault import Undo
-from orchidwind_bench.promoted.soak.system import STORE, SoakSystem
+from orchidwind_bench.platform.soak.fault_claims import FaultClaims
+from orchidwind_bench.platform.soak.planned_fault import Undo
+from orchidwind_bench.platform.soak.system import STORE, SoakSystem
 
 # How many changes of the configuration come in quick succession, and the seconds between two;
 # chosen.
--- a/src/orchidwind_bench/promoted/soak/system.py
+++ b/src/orchidwind_bench/platform/soak/system.py
@@ -17,11 +17,11 @@
 from tornado.httpserver import HTTPServer
 
 from orchidwind.platform.http_call import HttpCallFailed, HttpRequest, http_call
+from orchidwind_bench.platform.soak.directory import Directory
+from orchidwind_bench.platform.soak.instance_state import HOST, ZONES, InstanceTimes, SoakInstance
+from orchidwind_bench.platform.soak.instances import InstanceGroup
 from orchidwind_bench.processes import Program, free_ports
-from orchidwind_bench.promoted.soak.directory import Directory
-from orchidwind_bench.promoted.soak.instance_state import HOST, ZONES, InstanceTimes, SoakInstance
-from orchidwind_bench.promoted.soak.instances import InstanceGroup
-from orchidwind_standins.promoted.object_store import StoreState, listen
+from orchidwind_standins.platform.object_store import StoreState, listen
 
 GROUPS = ("ledger", "stock", "orders")
 DATABASES = {"latest": "primary", "bounded": "bounded_staleness", "own": "read_own_writes"}
--- a/src/orchidwind_bench/promoted/soak/traces.py
+++ b/src/orchidwind_bench/platform/soak/traces.py
@@ -7,7 +7,7 @@
 from datetime import datetime
 from pathlib import Path
 
-from orchidwind_bench.promoted.soak.promises import GroupHistory, began
+from orchidwind_bench.platform.soak.promises import GroupHistory, began
 
 EVENTS = frozenset(
     (
--- a/src/orchidwind_bench/printing.py
+++ b/src/orchidwind_bench/printing.py
@@ -6,10 +6,10 @@
 
 from orchidwind_bench.elected.day import DayReport
 from orchidwind_bench.elected.loaded_run import ExperimentReport
+from orchidwind_bench.platform.soak.run import SoakReport
 from orchidwind_bench.promoted.exploration.explorer import ExplorationReport
 from orchidwind_bench.promoted.exploration.surroundings import ProductLogic
 from orchidwind_bench.promoted.exploration.world import play
-from orchidwind_bench.promoted.soak.run import SoakReport
 
 # Of what broke, so many are printed; reports have all.
 _PRINTED_VIOLATIONS = 10
--- a/src/orchidwind_bench/promoted/__init__.py
+++ b/src/orchidwind_bench/promoted/__init__.py
@@ -1,1 +1,1 @@
-"""Simulator, explorer and soak of promoted groups."""
+"""Simulator and explorer of promoted groups."""
--- a/src/orchidwind_standins/promoted/memory_group.py
+++ b/src/orchidwind_standins/platform/memory_group.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass, field
 
-from orchidwind_standins.promoted.line_session import PRIMARY, REPLICA, LineSession
+from orchidwind_standins.platform.line_session import PRIMARY, REPLICA, LineSession
 
 # The longest line that is read, in bytes. Chosen: tests send statements of half a megabyte.
 _LINE_BYTES = 4 * 1024 * 1024
--- a/src/orchidwind_standins/promoted/replicated_instance.py
+++ b/src/orchidwind_standins/platform/replicated_instance.py
@@ -12,8 +12,8 @@
 
 import msgspec
 
-from orchidwind_standins.promoted.line_session import PRIMARY, REPLICA
-from orchidwind_standins.promoted.replicated_log import (
+from orchidwind_standins.platform.line_session import PRIMARY, REPLICA
+from orchidwind_standins.platform.replicated_log import (
     Journal,
     LogEntry,
     Runs,
--- a/src/orchidwind_standins/promoted/replicated_main.py
+++ b/src/orchidwind_standins/platform/replicated_main.py
@@ -12,9 +12,9 @@
 
 import msgspec
 
-from orchidwind_standins.promoted.line_session import LineSession
-from orchidwind_standins.promoted.replicated_instance import InstanceSettings, ReplicatedInstance
-from orchidwind_standins.promoted.replication_links import HOST, LINE_BYTES, ReplicationLinks
+from orchidwind_standins.platform.line_session import LineSession
+from orchidwind_standins.platform.replicated_instance import InstanceSettings, ReplicatedInstance
+from orchidwind_standins.platform.replication_links import HOST, LINE_BYTES, ReplicationLinks
 
 
 class Situation(msgspec.Struct, frozen=True, omit_defaults=True):
--- a/src/orchidwind_standins/promoted/replication_links.py
+++ b/src/orchidwind_standins/platform/replication_links.py
@@ -8,13 +8,13 @@
 
 import msgspec
 
-from orchidwind_standins.promoted.replicated_instance import (
+from orchidwind_standins.platform.replicated_instance import (
     PRIMARY,
     ReplicatedInstance,
     ReplicationAnswer,
     ReplicationMessage,
 )
-from orchidwind_standins.promoted.replicated_log import runs_of
+from orchidwind_standins.platform.replicated_log import runs_of
 
 HOST = "127.0.0.1"
 # Longest line of a message, in bytes: a part of the log, and the runs of all terms.
--- a/tests/promoted/soak/test_soak.py
+++ b/tests/promoted/soak/test_soak.py
@@ -4,16 +4,16 @@
 
 import pytest
 
-from orchidwind_bench.promoted.soak import run as soak_run
-from orchidwind_bench.promoted.soak import system as soak_system
-from orchidwind_bench.promoted.soak.callers import Record
-from orchidwind_bench.promoted.soak.configuration import ProbeAnswer, broken_promise
-from orchidwind_bench.promoted.soak.faults import FAULTS, draw_schedule
-from orchidwind_bench.promoted.soak.planned_fault import PlannedFault
-from orchidwind_bench.promoted.soak.promises import GroupHistory, check_group, check_tokens
-from orchidwind_bench.promoted.soak.run import soak
-from orchidwind_bench.promoted.soak.system import SoakSizes, SoakSystem
-from orchidwind_standins.promoted.replicated_log import JournalLine, LogEntry
+from orchidwind_bench.platform.soak import run as soak_run
+from orchidwind_bench.platform.soak import system as soak_system
+from orchidwind_bench.platform.soak.callers import Record
+from orchidwind_bench.platform.soak.configuration import ProbeAnswer, broken_promise
+from orchidwind_bench.platform.soak.faults import FAULTS, draw_schedule
+from orchidwind_bench.platform.soak.planned_fault import PlannedFault
+from orchidwind_bench.platform.soak.promises import GroupHistory, check_group, check_tokens
+from orchidwind_bench.platform.soak.run import soak
+from orchidwind_bench.platform.soak.system import SoakSizes, SoakSystem
+from orchidwind_standins.platform.replicated_log import JournalLine, LogEntry
 
 # Seeds whose runs broke a promise before a repair; none has so far.
 REGRESSION_SEEDS = ()
--- a/tests/promoted/soak/test_soak_instances.py
+++ b/tests/promoted/soak/test_soak_instances.py
@@ -6,20 +6,20 @@
 import pytest
 from tornado.tcpclient import TCPClient
 
-from orchidwind_bench.promoted.soak import directory as soak_directory
-from orchidwind_bench.promoted.soak.callers import Record, ShownNumber
-from orchidwind_bench.promoted.soak.directory import Directory
-from orchidwind_bench.promoted.soak.instance_state import HOST, InstanceTimes
-from orchidwind_bench.promoted.soak.instances import InstanceGroup
-from orchidwind_bench.promoted.soak.promises import GroupHistory, check_group
-from orchidwind_bench.promoted.soak.promotions import draw_promotions
-from orchidwind_standins.promoted.object_store import StoreState
-from orchidwind_standins.promoted.replicated_instance import (
+from orchidwind_bench.platform.soak import directory as soak_directory
+from orchidwind_bench.platform.soak.callers import Record, ShownNumber
+from orchidwind_bench.platform.soak.directory import Directory
+from orchidwind_bench.platform.soak.instance_state import HOST, InstanceTimes
+from orchidwind_bench.platform.soak.instances import InstanceGroup
+from orchidwind_bench.platform.soak.promises import GroupHistory, check_group
+from orchidwind_bench.platform.soak.promotions import draw_promotions
+from orchidwind_standins.platform.object_store import StoreState
+from orchidwind_standins.platform.replicated_instance import (
     InstanceSettings,
     ReplicatedInstance,
     ReplicationMessage,
 )
-from orchidwind_standins.promoted.replicated_log import (
+from orchidwind_standins.platform.replicated_log import (
     Journal,
     JournalLine,
     LogEntry,
--- a/tests/promoted/soak/test_soak_promotions.py
+++ b/tests/promoted/soak/test_soak_promotions.py
@@ -6,13 +6,13 @@
 
 import pytest
 
-from orchidwind_bench.promoted.soak.faults import FAULTS
-from orchidwind_bench.promoted.soak.instance_state import InstanceTimes
-from orchidwind_bench.promoted.soak.planned_fault import PART_STEP, PlannedFault
-from orchidwind_bench.promoted.soak.promotions import draw_promotions
-from orchidwind_bench.promoted.soak.run import read_plan, soak
-from orchidwind_bench.promoted.soak.system import SoakSizes
-from orchidwind_standins.promoted.replicated_instance import PositionTerm
+from orchidwind_bench.platform.soak.faults import FAULTS
+from orchidwind_bench.platform.soak.instance_state import InstanceTimes
+from orchidwind_bench.platform.soak.planned_fault import PART_STEP, PlannedFault
+from orchidwind_bench.platform.soak.promotions import draw_promotions
+from orchidwind_bench.platform.soak.run import read_plan, soak
+from orchidwind_bench.platform.soak.system import SoakSizes
+from orchidwind_standins.platform.replicated_instance import PositionTerm
 
 PLANS = Path(__file__).parent / "soak_plans"
 
--- a/tests/promoted/test_connection_logs.py
+++ b/tests/promoted/test_connection_logs.py
@@ -17,7 +17,7 @@
 from orchidwind_bench.promoted.simulation.callers import PromotedSystem
 from orchidwind_bench.promoted.simulation.store import GROUP
 from orchidwind_bench.promoted.simulation.virtual_time import run_virtual
-from orchidwind_standins.promoted import object_store
+from orchidwind_standins.platform import object_store
 
 HOST = "127.0.0.1"
 PROXIES = tuple(f"proxy-{letter}" for letter in "abcdef")
--- a/tests/promoted/test_store_call_limits.py
+++ b/tests/promoted/test_store_call_limits.py
@@ -24,7 +24,7 @@
 from orchidwind.promoted.views.followed_views import ProxyBounds
 from orchidwind.promoted.views.hedged_call import Arrival, hedged
 from orchidwind.shared.core.errors import PlatformError
-from orchidwind_standins.promoted import object_store
+from orchidwind_standins.platform import object_store
 
 HOST = "127.0.0.1"
 # Of the views that bound a call by a share of a promise, the one with the shortest promise.
--- a/tests/support/platform_system.py
+++ b/tests/support/platform_system.py
@@ -13,8 +13,8 @@
 from orchidwind.platform.http_call import HttpRequest, http_call
 from orchidwind.platform.main import PlatformProxy
 from orchidwind_bench.processes import free_ports
-from orchidwind_standins.promoted.memory_group import MemoryGroup
-from orchidwind_standins.promoted.object_store import StoreState, listen
+from orchidwind_standins.platform.memory_group import MemoryGroup
+from orchidwind_standins.platform.object_store import StoreState, listen
 
 HOST = "127.0.0.1"
 SERVICE = "svc1"
