--- a/src/orchidwind/promoted/core/lead_lease.py
+++ b/src/orchidwind/promoted/core/lead_lease.py
@@ -45,6 +45,9 @@
 # Seconds for which another proxy is asked for its reading. Chosen: what a reading of the store by
 # this proxy would lose by waiting longer.
 RELAY_CALL_SECONDS = 0.1
+# Seconds between two readings of the others' confirmations. Chosen: a few calls of the store long
+# (4 ms each with the first users); what is left of a change of primary waits for it.
+CONFIRMATIONS_INTERVAL_SECONDS = 0.025
 
 assert RELAY_CALL_SECONDS < RENEWAL_MARGIN_SECONDS < LEASE_SECONDS < REVOCATION_WAIT_SECONDS
 
--- a/src/orchidwind/promoted/core/promotion_lock.py
+++ b/src/orchidwind/promoted/core/promotion_lock.py
@@ -33,6 +33,10 @@
 # Seconds after its promotion for which a proxy leaves the lock to others, where another has
 # promoted since: the other may hold it so long, and half a second is for what is on its way.
 ALTERNATION_SECONDS = HOLD_SECONDS + 0.5
+# How often, and each how many seconds, a lock is read whose write was not answered. Chosen: 0.9 s
+# and the calls; a lock that is known to be held later has hardly any time left.
+LOCK_READ_BACKS = 6
+LOCK_READ_BACK_SECONDS = 0.15
 
 assert PROMOTION_CALL_SECONDS < _LATE_PROMOTION_SECONDS
 assert ALTERNATION_SECONDS < TAKE_OVER_SECONDS
--- a/src/orchidwind/promoted/group/lease_keeper.py
+++ b/src/orchidwind/promoted/group/lease_keeper.py
@@ -18,6 +18,7 @@
 
 from orchidwind.promoted.core.failover_steps import AcknowledgedCommits
 from orchidwind.promoted.core.lead_lease import (
+    CONFIRMATIONS_INTERVAL_SECONDS,
     REVOCATION_WAIT_SECONDS,
     LeadLease,
     renewal_due_in,
@@ -40,10 +41,7 @@
 # Seconds until a registration or confirmation that failed is tried again. Chosen: a holder waits
 # 1.1 s for a confirmation, so a second and a third try still count.
 _REGISTRY_RETRY_SECONDS = 0.25
-# Seconds between two looks at the others' confirmations. Chosen: a few calls of the store long
-# (4 ms each with the first users); what is left of a change of primary waits for it.
-_CONFIRMATIONS_INTERVAL_SECONDS = 0.025
-# Seconds that a proxy which stops waits for its last word in the registry. Chosen: a planned stop
+# Seconds that a proxy which stops waits for its last write to the registry. Chosen: a planned stop
 # has used most of its grace by then.
 _LEAVE_SECONDS = 0.3
 
@@ -225,7 +223,7 @@
             confirmed = await self._all_dropped(token)
             if confirmed is not None:
                 return _acknowledged_by(group, (*confirmed, self._confirmation(token)))
-            await asyncio.sleep(min(_CONFIRMATIONS_INTERVAL_SECONDS, left))
+            await asyncio.sleep(min(CONFIRMATIONS_INTERVAL_SECONDS, left))
         return None
 
     async def _all_dropped(self, token: int) -> list[LeaseConfirmation] | None:
--- a/src/orchidwind/promoted/group/promotion_lock_client.py
+++ b/src/orchidwind/promoted/group/promotion_lock_client.py
@@ -14,6 +14,8 @@
 import secrets
 
 from orchidwind.promoted.core.promotion_lock import (
+    LOCK_READ_BACK_SECONDS,
+    LOCK_READ_BACKS,
     HeldLock,
     LockDecision,
     LockObserver,
@@ -30,11 +32,6 @@
 )
 from orchidwind.shared.logs import log_event
 
-# How often, and each how many seconds, a lock is read whose write was not answered. Chosen: 0.9 s
-# and the calls; a lock that is known to be held later has hardly any time left.
-_READ_BACKS = 6
-_READ_BACK_SECONDS = 0.15
-
 
 class PromotionLockClient:
     """Takes and gives back the promotion lock; one change of primary at a time uses it."""
@@ -100,7 +97,7 @@
 
     async def _read_back(self, sent_at: float, attempt: str) -> HeldLock | None:
         """The answer was lost: the record itself shows whether the call was carried out."""
-        for _ in range(_READ_BACKS):
+        for _ in range(LOCK_READ_BACKS):
             try:
                 record = await self._store.read()
             except PlatformError as error:
@@ -108,7 +105,7 @@
                 record = None
             if record is not None and record.attempt == attempt:
                 return held_lock(sent_at, record, attempt)
-            await asyncio.sleep(_READ_BACK_SECONDS)
+            await asyncio.sleep(LOCK_READ_BACK_SECONDS)
         return None
 
     async def release(self, held: HeldLock) -> None:
--- a/src/orchidwind/promoted/peers/own_entry.py
+++ b/src/orchidwind/promoted/peers/own_entry.py
@@ -12,6 +12,7 @@
 from orchidwind.promoted.ports import MemberStore
 from orchidwind.shared.core.errors import PlatformError
 from orchidwind.shared.logs import log_event
+from orchidwind.shared.task_set import TaskSet
 
 # Before the own entry is written again, seconds. Chosen: the store refuses or is silent, and nobody
 # waits for it: others send work here a fraction of a second later.
@@ -26,7 +27,7 @@
         self._store = store
         self._write_due = asyncio.Event()
         self._written_at = float("-inf")
-        self._removals: set[asyncio.Task[None]] = set()
+        self._removals = TaskSet()
         self._loop = asyncio.get_running_loop()
 
     async def write(self) -> bool:
@@ -63,9 +64,7 @@
 
     def remove_other(self, name: str) -> None:
         """Take a proxy off the list; one that is there after all lists itself again."""
-        task = self._loop.create_task(self._remove(name))
-        self._removals.add(task)
-        task.add_done_callback(self._removals.discard)
+        self._removals.start(self._remove(name))
 
     async def _remove(self, name: str) -> None:
         try:
@@ -77,5 +76,4 @@
 
     def close(self) -> None:
         """Write nothing more."""
-        for task in self._removals:
-            task.cancel()
+        self._removals.cancel()
--- a/src/orchidwind/promoted/peers/served_link.py
+++ b/src/orchidwind/promoted/peers/served_link.py
@@ -6,9 +6,7 @@
 
 from __future__ import annotations
 
-import asyncio
-from collections.abc import Callable, Coroutine
-from typing import Any
+from collections.abc import Callable
 
 import msgspec
 
@@ -26,6 +24,7 @@
 from orchidwind.promoted.peers.long_sends import LongSends
 from orchidwind.promoted.peers.remote_session import RemoteSession
 from orchidwind.shared.logs import log_event
+from orchidwind.shared.task_set import TaskSet
 
 
 class ServedLink:
@@ -51,14 +50,14 @@
         self._leaving = leaving
         # By channel, the number that the front gave the session.
         self._sessions: dict[int, RemoteSession] = {}
-        self._tasks: set[asyncio.Task[Any]] = set()
+        self._tasks = TaskSet()
 
     def take(self, message: PeerMessage) -> None:
         """A message came."""
         if isinstance(message, RunCommand):
             self._run(message)
         elif isinstance(message, LockQuery):
-            self._spawn(self._report_lock(message))
+            self._tasks.start(self._report_lock(message))
         elif isinstance(message, ViewQuery):
             self._report_view(message)
         elif isinstance(message, Probe):
@@ -87,7 +86,7 @@
             self._send(self._home.report_view(msgspec.structs.replace(query, whole=False)))
             return
         self._sending_whole_view = True
-        self._spawn(self._report_whole_view(query))
+        self._tasks.start(self._report_whole_view(query))
 
     async def _report_whole_view(self, query: ViewQuery) -> None:
         async def send() -> None:
@@ -133,7 +132,7 @@
             session = self._sessions[message.channel] = RemoteSession(self._home)
             self._home.registry.sessions.add(session)
         session.begin_work()
-        self._spawn(self._answer(session, message))
+        self._tasks.start(self._answer(session, message))
 
     async def _answer(self, session: RemoteSession, message: RunCommand) -> None:
         answer = await session.run(message, self._home.groups(message.group))
@@ -147,8 +146,3 @@
         if session is not None and session.resting and not session.in_transaction:
             del self._sessions[channel]
             self._home.registry.sessions.discard(session)
-
-    def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
-        task = asyncio.get_running_loop().create_task(work)
-        self._tasks.add(task)
-        task.add_done_callback(self._tasks.discard)
