--- a/src/orchidwind/__init__.py
+++ b/src/orchidwind/__init__.py
@@ -1,1 +1,1 @@
-"""PostgreSQL proxy with session consistency, and the coordination parts it is made of."""
+"""PostgreSQL proxy with session consistency, and its parts for coordination between proxies."""
--- a/src/orchidwind/commands/__init__.py
+++ b/src/orchidwind/commands/__init__.py
@@ -1,1 +1,1 @@
-"""The command line of the daemon and of its operators."""
+"""The command line interface: the proxy daemon and the commands for operators."""
--- a/src/orchidwind/commands/explain.py
+++ b/src/orchidwind/commands/explain.py
@@ -1,8 +1,8 @@
-"""Follows one request through the logs of the proxies, from its id to what decided it.
+"""Finds the log lines of all proxies that explain the outcome of one request.
 
-For: `orchidwind explain`. Owns which events bear on a request, and from when on. Relies on the
-names of events and fields, which docs/OPERATIONS.md lists. A line of another form is passed over:
-a log may hold what other programs wrote.
+Used by `orchidwind explain`. Owns the selection of the events that can affect a request, and how
+far back they are searched. Depends on the names of events and fields, which docs/OPERATIONS.md
+lists. Lines of another format are skipped, since a log may contain the output of other programs.
 """
 
 from __future__ import annotations
@@ -16,16 +16,17 @@
 from orchidwind.shared.core.errors import OrchidwindError
 
 _FIELD = re.compile(r'(\w+)=("(?:[^"\\]|\\.)*"|\S+)')
-# What a proxy came to believe so long before a request arrived is shown. A change of
-# primary takes about a second, and the views' bounds are 3 s.
-_BEFORE = timedelta(seconds=3)
-# A caller learns that the connection of its resting transaction fell silent when it comes back: as
-# late as a transaction may rest, 30 s by default.
-_LONGEST_REST = timedelta(seconds=30)
-_FOUND_AT_REST = "instance_resting"
-# A change of primary takes about a second; its lines come from the proxy that made it.
-_CHANGE = timedelta(seconds=3)
-_CHANGES = frozenset(
+# How long before the arrival of a request events are shown. A change of primary takes about a
+# second, and the bounds of the views are 3 s.
+_LOOK_BACK = timedelta(seconds=3)
+# The same for the silent connection of an idle transaction: the caller learns of it with its next
+# statement, which may be as late as a transaction may stay idle, 30 s by default.
+_IDLE_TRANSACTION_LOOK_BACK = timedelta(seconds=30)
+_IDLE_TRANSACTION = "instance_resting"
+# How far from an acknowledged commit the events of a change of primary are shown. A change takes
+# about a second; its events are logged by the proxy that carries it out.
+_FAILOVER_WINDOW = timedelta(seconds=3)
+_FAILOVER_EVENTS = frozenset(
     (
         "failover_choice",
         "failover_ended",
@@ -36,7 +37,7 @@
         "promotion_sent",
     )
 )
-_BELIEFS = frozenset(
+_CONTEXT_EVENTS = frozenset(
     (
         "configuration_in_force",
         "connection_silent",
@@ -67,12 +68,12 @@
 
 
 class RequestNotFound(OrchidwindError):
-    """No line of the logs names the request."""
+    """No line of the logs contains the request id."""
 
 
 @dataclass(frozen=True, slots=True)
 class LogLine:
-    """One line of a log."""
+    """One parsed line of a log."""
 
     text: str
     event: str
@@ -82,20 +83,20 @@
 
 
 def parse_line(text: str) -> LogLine | None:
-    """Read a line; None where it is not one of ours."""
+    """Parse a line; return None if it is not a line of a proxy's log."""
     fields = {name: value.strip('"') for name, value in _FIELD.findall(text)}
     if "event" not in fields or "at" not in fields:
         return None
     try:
         at = datetime.fromisoformat(fields["at"])
     except ValueError:
-        # A log may hold what other programs wrote.
+        # A log may contain the output of other programs.
         return None
     return LogLine(text.strip(), fields["event"], fields.get("node", ""), at, fields)
 
 
 def read_logs(paths: Iterable[Path]) -> list[LogLine]:
-    """All lines of all files, by time."""
+    """Return the parsed lines of all files, ordered by time."""
     found: list[LogLine] = []
     for path in paths:
         with path.open(encoding="utf-8", errors="replace") as log:
@@ -104,25 +105,26 @@
 
 
 def _nodes(request: LogLine) -> set[str]:
-    """The request's own proxy, and the homes that its attempts name."""
+    """Return the proxy that logged the request and the home proxies that its attempts name."""
     homes = re.findall(r"(\S+?):home(?:_lost)?:", request.fields.get("attempts", ""))
     return {request.node, *homes}
 
 
-def _since(other: LogLine, request: LogLine) -> datetime:
-    """From when on a line counts."""
+def _relevant_since(other: LogLine, request: LogLine) -> datetime:
+    """Return the time from which on a line can explain the request."""
     milliseconds = int(request.fields.get("milliseconds", "0"))
-    at_rest = other.fields.get("connection") == _FOUND_AT_REST
-    before = _LONGEST_REST if at_rest else _BEFORE
-    return request.at - timedelta(milliseconds=milliseconds) - before
+    idle_transaction = other.fields.get("connection") == _IDLE_TRANSACTION
+    look_back = _IDLE_TRANSACTION_LOOK_BACK if idle_transaction else _LOOK_BACK
+    return request.at - timedelta(milliseconds=milliseconds) - look_back
 
 
-def _bears_on(other: LogLine, request: LogLine) -> bool:
-    """Whether a line shows what the request's proxy, or its home, believed of itself or its group.
+def _is_relevant(other: LogLine, request: LogLine) -> bool:
+    """Return whether a line describes what the request's proxy or home proxy knew at that time.
 
-    Of a home only what it found silent: the rest is in the home's own log.
+    Lines about other groups than the request's do not count. Of a home proxy, only silent
+    connections count; its other lines are in its own log.
     """
-    if other.event not in _BELIEFS or other.node not in _nodes(request):
+    if other.event not in _CONTEXT_EVENTS or other.node not in _nodes(request):
         return False
     if other.node != request.node and other.event != "connection_silent":
         return False
@@ -131,14 +133,15 @@
 
 
 def story(lines: list[LogLine], request_id: str) -> list[str]:
-    """What the request's own lines say, after what its proxy had come to believe before.
+    """Return the lines of a request, each after the lines that explain it.
 
-    Raises RequestNotFound.
+    The lines of a change of primary that followed the request's commit come last. Raises
+    RequestNotFound if no line contains the request id.
     """
     own = [line for line in lines if line.fields.get("request_id") == request_id]
-    change = _change_after(lines, request_id)
-    if not own and change:
-        return change
+    failover = _failover_after(lines, request_id)
+    if not own and failover:
+        return failover
     if not own:
         raise RequestNotFound(f"no line names the request {request_id}")
     shown: list[str] = []
@@ -146,28 +149,28 @@
         shown.extend(
             f"  before: {other.text}"
             for other in lines
-            if _bears_on(other, line) and _since(other, line) <= other.at <= line.at
+            if _is_relevant(other, line) and _relevant_since(other, line) <= other.at <= line.at
         )
         shown.append(f"request: {line.text}")
-    return shown + change
+    return shown + failover
 
 
-def _change_after(lines: list[LogLine], request_id: str) -> list[str]:
-    """The change of primary that followed a commit, as all proxies logged it."""
+def _failover_after(lines: list[LogLine], request_id: str) -> list[str]:
+    """Return the lines of all proxies about a change of primary that followed a commit."""
     acknowledged = [
         line
         for line in lines
         if line.event == "commits_acknowledged"
         and f"{request_id}@" in line.fields.get("commits", "")
     ]
-    story: list[str] = []
+    shown: list[str] = []
     for line in acknowledged:
-        story.append(f"acknowledged before a change of primary: {line.text}")
-        story.extend(
+        shown.append(f"acknowledged before a change of primary: {line.text}")
+        shown.extend(
             f"  change: {other.text}"
             for other in lines
-            if other.event in _CHANGES
+            if other.event in _FAILOVER_EVENTS
             and other.fields.get("group", "") in ("", line.fields.get("group", ""))
-            and abs(other.at - line.at) <= _CHANGE
+            and abs(other.at - line.at) <= _FAILOVER_WINDOW
         )
-    return story
+    return shown
--- a/src/orchidwind/commands/main.py
+++ b/src/orchidwind/commands/main.py
@@ -1,7 +1,7 @@
-"""`orchidwind`: run a proxy, check and apply the operators' file, look at a proxy, drain it.
+"""The `orchidwind` command: run, inspect and drain a proxy; check and apply operators' files.
 
-For: operators. Owns commands, options and exit codes, which scripts rely on; each function's
-parameters are its options. What the commands do is in `operations` and `explain`.
+Owns the commands, options and exit codes, which operators' scripts rely on. The parameters of each
+command's function are its options. `operations` and `explain` implement the commands.
 """
 
 from __future__ import annotations
@@ -23,9 +23,9 @@
 from orchidwind.shared.logs import configure_logging
 from orchidwind.shared.settings import ProxyOverrides, ProxySettings, load_proxy_settings
 
-# Exit codes: the file is not accepted; the command failed.
-_BAD_FILE = 2
-_FAILED = 1
+# Exit codes: the file is invalid; the command failed.
+_EXIT_INVALID_FILE = 2
+_EXIT_FAILED = 1
 
 
 def proxy(
@@ -40,11 +40,11 @@
     gossip_port: int | None = None,
     operator_port: int | None = None,
 ) -> None:
-    """Run one proxy until SIGTERM, which drains it. Flags override the settings file.
+    """Run one proxy until SIGTERM, which drains it. Options override the settings file.
 
     :param settings: settings file of this process (TOML)
     :param name: name of this proxy, unique among all proxies
-    :param zone: zone that this proxy's callers sit in
+    :param zone: zone of this proxy and its callers
     :param host: IP address that other proxies use
     :param platform_url: base URL of the platform's service
     :param caller_port: port for callers (PostgreSQL protocol)
@@ -65,13 +65,13 @@
     gc.set_threshold(20_000, 20, 50)
     daemon = ProxyDaemon(settings)
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, daemon.drain)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, daemon.drain)
     await daemon.run()
 
 
 def check(file: Path) -> None:
-    """Check an operators' file, or a process's settings on the platform; changes nothing.
+    """Check an operators' file or a proxy's platform settings; changes nothing.
 
     :param file: operators' file (TOML), or platform settings (JSON)
     """
@@ -84,9 +84,9 @@
 
 
 def apply(file: Path, *, platform_url: str) -> None:
-    """Check an operators' file and put it in force as a whole, or not at all.
+    """Check an operators' file and put it in force, as a whole or not at all.
 
-    Where another operator's file came in between, nothing is changed and the exit code is 1.
+    If another operator applies a file at the same time, nothing is changed and the exit code is 1.
 
     :param file: operators' file (TOML)
     :param platform_url: base URL of the platform's service
@@ -105,7 +105,7 @@
 
 
 def drain(*, operator_url: str) -> None:
-    """Begin the planned stop of one proxy: it cuts no request in progress.
+    """Start the planned stop of one proxy, which lets requests in progress finish.
 
     :param operator_url: base URL of the proxy's operator port
     """
@@ -114,10 +114,10 @@
 
 
 def explain(*logs: Path, request_id: str) -> None:
-    """Tell what decided a request, from the logs of the proxies.
+    """Show the log lines that explain the outcome of a request.
 
-    :param logs: log files
-    :param request_id: the request's id, as the caller knows it
+    :param logs: log files of the proxies
+    :param request_id: id of the request, as the caller knows it
     """
     for line in story(read_logs(logs), request_id):
         print(line)
@@ -129,7 +129,7 @@
         defopt.run([proxy, check, apply, status, drain, explain])
     except SettingsError as error:
         print(error, file=sys.stderr)
-        sys.exit(_BAD_FILE)
+        sys.exit(_EXIT_INVALID_FILE)
     except OrchidwindError as error:
         print(error, file=sys.stderr)
-        sys.exit(_FAILED)
+        sys.exit(_EXIT_FAILED)
--- a/src/orchidwind/commands/operations.py
+++ b/src/orchidwind/commands/operations.py
@@ -1,7 +1,8 @@
-"""What the operators' commands do.
+"""Implementation of the operators' commands.
 
-For: `commands.main`. Owns the rule of `apply`: one of two racing operators wins, and a write whose
-answer is lost is read back. Relies on the object API's client and on a proxy's operator port.
+Used by `commands.main`. `apply` guarantees that of two concurrent operators exactly one wins, and
+reads the object back if the answer to its write is lost. Uses the client of the object API and the
+operator port of a proxy.
 """
 
 from __future__ import annotations
@@ -20,8 +21,9 @@
 )
 from orchidwind.shared.core.errors import PlatformConflict, PlatformError, SettingsError
 
-# Readings of the object before `apply` fails, and the first pause between two, which grows by
-# itself each time, seconds. 3 s in all, as an operator waits for the outcome.
+# Attempts to read the object before `apply` fails, and the first pause between attempts, in
+# seconds. Each pause is longer than the last by the first. They add up to 3 s, as an operator waits
+# for the result.
 _READ_ATTEMPTS = 5
 _READ_PAUSE_SECONDS = 0.3
 
@@ -36,40 +38,45 @@
 
 
 async def apply(content: OperatorFile, platform_url: str) -> int:
-    """Compare and swap the configuration; the version that is now in force.
+    """Replace the configuration by compare-and-swap; return the version now in force.
 
-    The write names the version that was read first, so of two racing operators one wins. Each
-    write carries an identifier: where its answer is lost, the object is read back, and the
-    identifier tells whether the write took effect. Raises PlatformConflict or PlatformError.
+    The write names the version that was read before, so of two concurrent operators only one wins.
+    Each write carries a unique identifier: if its answer is lost, the object is read back, and the
+    identifier shows whether the write took effect. Raises PlatformConflict or PlatformError.
     """
     client = ObjectApiClient(platform_url)
-    held = await _read(client)
+    stored = await _read(client)
     attempt = uuid.uuid4().hex
     item = ConfigurationObject(
-        Metadata(resource_version=held.metadata.resource_version if held else ""),
+        Metadata(resource_version=stored.metadata.resource_version if stored else ""),
         content,
         attempt,
     )
     try:
         written = await client.write(item)
     except PlatformError:
-        # A conflict, too: it may be with this very write, whose first answer was lost.
-        return _settle(await _read(client), attempt)
+        # Also after a conflict: it may be with this very write, if the answer to a first attempt
+        # was lost.
+        return _confirm_write(await _read(client), attempt)
     return int(written.metadata.resource_version)
 
 
-def _settle(held: ConfigurationObject | None, attempt: str) -> int:
-    """Whether a write whose answer was lost or refused took effect after all."""
-    if held is not None and held.attempt == attempt:
-        return int(held.metadata.resource_version)
-    version = held.metadata.resource_version if held else "none"
+def _confirm_write(stored: ConfigurationObject | None, attempt: str) -> int:
+    """Return the version of a write whose answer was lost or refused, if it took effect.
+
+    Raises PlatformConflict if it did not.
+    """
+    if stored is not None and stored.attempt == attempt:
+        return int(stored.metadata.resource_version)
+    version = stored.metadata.resource_version if stored else "none"
     raise PlatformConflict(
-        f"not applied: version {version} of another operator is in force, or the platform refused;"
-        " look at it, then apply again"
+        f"not applied: version {version} of another operator is in force, or the platform refused"
+        " the write; check the configuration in force, then apply again"
     )
 
 
 async def _read(client: ObjectApiClient) -> ConfigurationObject | None:
+    """Read the object, with retries; raises PlatformError if the last attempt fails."""
     for attempt in range(_READ_ATTEMPTS):
         try:
             return await client.read()
@@ -81,7 +88,7 @@
 
 
 async def fetch(url: str, method: str = "GET") -> bytes:
-    """Ask a proxy's operator port; raises PlatformError where it does not answer."""
+    """Send a request to the operator port of a proxy; raises PlatformError if it fails."""
     body = "" if method == "POST" else None
     try:
         response = await AsyncHTTPClient().fetch(url, method=method, body=body)
--- a/src/orchidwind/shared/__init__.py
+++ b/src/orchidwind/shared/__init__.py
@@ -1,1 +1,1 @@
-"""What both proxies use: records, sockets, log lines, settings, counts of silent connections."""
+"""Code shared by both kinds of proxies: records, sockets, logs, settings, silent connections."""
--- a/src/orchidwind/shared/avro_records.py
+++ b/src/orchidwind/shared/avro_records.py
@@ -1,7 +1,8 @@
-"""Avro records without a schema in front, and frames: a 4-byte length and a record.
+"""Encodes and decodes Avro records without an embedded schema, and length-prefixed frames of them.
 
-For: the codecs of both halves. Owns the frame; what the records are, `messages.avsc` and the codecs
-say. No I/O but the schema's file.
+Used by the codecs of all proxies. A frame is a 4-byte length followed by one record. The schemas
+are in `messages.avsc`; the codecs define what each record means. No I/O except reading the schema
+file.
 """
 
 from __future__ import annotations
@@ -15,34 +16,34 @@
 import fastavro
 
 LENGTH = struct.Struct("!I")
-# The longest frame where a codec names no other bound. A bound of memory for what another
-# process may send, above the longest answer that a link carries.
+# Maximum frame length unless a codec sets another. It limits the memory that another process can
+# make this one use, and is above the longest answer that a link carries.
 MAXIMUM_FRAME_BYTES = 80 * 1024 * 1024
-# What the Avro library raises for bytes that do not fit the schema.
+# Exceptions that the Avro library raises for bytes that do not match the schema.
 DECODE_FAULTS = (EOFError, ValueError, IndexError, KeyError, TypeError, OverflowError)
 
 Fields = dict[str, Any]
 
 
 class DecodeError(Exception):
-    """Bytes of another process that are no message of the schema."""
+    """Bytes received from another process are not a valid message of the schema."""
 
 
 def load_schema(union: str) -> Any:
-    """One of the unions of `messages.avsc`."""
+    """Load one of the named unions of `messages.avsc`."""
     text = resources.files("orchidwind.shared").joinpath("messages.avsc").read_text()
     return fastavro.parse_schema(json.loads(text)[union])
 
 
 def encode_record(schema: Any, name: str, fields: Fields) -> bytes:
-    """A record of a union."""
+    """Encode a record of a union."""
     buffer = BytesIO()
     fastavro.schemaless_writer(buffer, schema, (name, fields))
     return buffer.getvalue()
 
 
 def encode_frame_record(schema: Any, name: str, fields: Fields) -> bytes:
-    """A record of a union, with its length before it."""
+    """Encode a record of a union as a frame, with its length in front."""
     buffer = BytesIO()
     buffer.write(b"\0" * LENGTH.size)
     fastavro.schemaless_writer(buffer, schema, (name, fields))
@@ -52,7 +53,7 @@
 
 
 def read_record(body: bytes, schema: Any) -> tuple[str, Fields]:
-    """The name and the fields of a record of a union; raises one of DECODE_FAULTS."""
+    """Decode a record of a union to its name and fields; raises one of DECODE_FAULTS."""
     record: Any = fastavro.schemaless_reader(
         BytesIO(body), schema, None, return_record_name=True, return_record_name_override=True
     )
@@ -61,23 +62,26 @@
 
 
 class FrameCutter:
-    """Cuts a stream of bytes into the bodies of frames."""
+    """Splits a byte stream into frames and yields their bodies."""
 
     def __init__(self, maximum: int = MAXIMUM_FRAME_BYTES) -> None:
         self._maximum = maximum
         self._buffer = bytearray()
 
     def feed(self, data: bytes) -> None:
-        """Bytes came."""
+        """Append received bytes."""
         self._buffer += data
 
     def next_body(self) -> bytes | None:
-        """The next whole body, None where more bytes are needed; raises DecodeError."""
+        """Return the next complete frame body, or None if more bytes are needed.
+
+        Raises DecodeError if the frame is longer than the maximum.
+        """
         if len(self._buffer) < LENGTH.size:
             return None
         (length,) = LENGTH.unpack_from(self._buffer)
         if length > self._maximum:
-            raise DecodeError(f"frame of {length} bytes")
+            raise DecodeError(f"frame of {length} bytes exceeds the maximum of {self._maximum}")
         end = LENGTH.size + length
         if len(self._buffer) < end:
             return None
--- a/src/orchidwind/shared/core/__init__.py
+++ b/src/orchidwind/shared/core/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions that both proxies use; no input or output, no clock."""
+"""Rules shared by both kinds of proxies, for elected and promoted groups; no I/O, no clock."""
--- a/src/orchidwind/shared/core/admission.py
+++ b/src/orchidwind/shared/core/admission.py
@@ -1,18 +1,19 @@
 """Weighted fair queueing of requests for the server connections of one instance.
 
-Each traffic class has a weight, a bound on its queue, and a deadline. The order of classes is by
-virtual finish time (start-time fair queueing), so a heavy class gets its share and a light one is
-never starved. Within a class, a request goes first whose target comes first. One that can no longer
-be answered by its target goes after all that can: under more load than the instance bears, those
-that are served are served in time. Without targets the order is that of arrival.
-
-A request that cannot start before its deadline is refused on arrival, with the time after which its
-queue will have drained. One that has missed its target is refused as soon as it is seen that no
-slot is left for it; one that expires in the queue, with the time in which a single slot would serve
-all that wait.
-
-Owns: the queues and the estimate of how long a request holds a connection. Relies on its user for
-the time, in seconds of one steady clock, and for the number of slots.
+Each traffic class has a weight, a maximum queue length and a deadline. Classes are ordered by
+virtual finish time (start-time fair queueing), so a class with a high weight gets its share and a
+class with a low weight is never starved. Within a class, requests are ordered by their target, the
+time by which they should be answered, earliest first. Overdue requests, which can no longer be
+answered by their target, come after all others: under overload, the requests that are served are
+still served in time. Requests without a target are served in order of arrival.
+
+A request that cannot start before its deadline is refused on arrival, with the time that the queue
+needs to drain as its retry delay. An overdue request is refused as soon as no slot is left for
+overdue requests. A request that expires in the queue is refused with the time that a single slot
+needs to serve all requests still waiting.
+
+Owns: the queues and the estimate of how long a request holds a connection. The user of a queue
+passes in the time, in seconds of a monotonic clock, and the number of slots.
 """
 
 from __future__ import annotations
@@ -23,43 +24,44 @@
 
 from msgspec import Struct, field
 
-# Weight of the newest request in the mean time that requests hold a connection. The mean
-# follows a change of load within some ten requests.
+# Weight of the newest request in the moving average of the time that a request holds a connection.
+# The average follows a change of load within about ten requests.
 _SERVICE_SMOOTHING = 0.1
-# That mean before the first request has ended, seconds. Low, so that none is refused on a
-# guess.
+# Initial value of that average, in seconds, until the first request has ended. It is low so that no
+# request is refused because of a guess.
 _INITIAL_SERVICE_SECONDS = 0.002
-# Shortest time after which a refused request is asked to come back, seconds. It spreads the
-# repeats of callers that were refused together.
+# Lower bound on the retry delay of a refused request, in seconds. It spreads out the retries of
+# callers that were refused at the same time.
 _SHORTEST_RETRY_SECONDS = 0.05
-# Where for so many seconds no slot was left for requests that have missed their target, those that
-# wait are refused, and new ones that would miss theirs are refused on arrival.
-_NO_SLOT_LEFT_SECONDS = 0.1
-# The share of the time to its target that a request is expected to take at most, when it is taken
-# in: the rest is for one that is refused elsewhere first, and for work that takes longer.
+# If no slot was left for overdue requests for this many seconds, waiting overdue requests are
+# refused, and new requests that would miss their target are refused on arrival.
+_NO_SLOT_SECONDS = 0.1
+# A request is admitted under overload only if it is expected to use at most this share of the time
+# left until its target. The rest is a reserve for requests that another proxy refused first and for
+# requests that take longer than expected.
 _TARGET_SHARE = 0.5
-# Such a request that is refused is asked to come back after this share of the time to its target at
-# most, as another proxy may have room: later than that, it could hardly be served in time.
-_RETRY_SHARE = 0.1
-# And after so many seconds at least: there is room no sooner than one request has ended.
-_SOONEST_RETRY_SECONDS = 0.01
-# The target of a request that has none.
+# Upper bound on the retry delay of a request refused because of its target, as a share of the time
+# left until the target. Another proxy may have room, and a later retry could hardly be in time.
+_TARGET_RETRY_SHARE = 0.1
+# Lower bound on the same delay, in seconds: no slot becomes free before a running request ends.
+_SHORTEST_TARGET_RETRY_SECONDS = 0.01
+# Target time of a request without a target.
 NO_TARGET = float("inf")
 
 
-# Whether a waiting request, by its ticket, may be taken now.
+# Returns whether the waiting request with this ticket may be granted a connection now.
 Eligible = Callable[[int], bool]
 
 
-def _any_ticket(ticket: int) -> bool:
+def _always_eligible(ticket: int) -> bool:
     return True
 
 
 class TrafficClass(Struct, frozen=True):
-    """How requests of one class are treated.
+    """Scheduling parameters of a traffic class.
 
-    `deadline` is in seconds from arrival, `queue_bound` in waiting requests. The defaults
-    apply to elected groups without traffic classes of their own.
+    `deadline` is in seconds from the arrival of a request; `queue_bound` is the maximum number of
+    waiting requests. The defaults apply to elected groups that configure no traffic classes.
     """
 
     name: str
@@ -69,15 +71,18 @@
 
 
 class Refusal(Struct, frozen=True):
-    """A request was not taken; come back after `retry_after` seconds."""
+    """A request was refused; the caller may retry after `retry_after` seconds.
+
+    `expired` is true if the request had been queued, false if it was refused on arrival.
+    """
 
     ticket: int
     retry_after: float
     expired: bool
 
 
-class _Waiting(Struct):
-    """`overdue_at`: when it was seen that it cannot be answered by its target any more."""
+class _WaitingRequest(Struct):
+    """A queued request; `overdue_at` is when it was found to be unable to meet its target."""
 
     ticket: int
     expires_at: float
@@ -88,25 +93,26 @@
 class _ClassQueue(Struct):
     """The waiting requests of one class.
 
-    `by_target` holds those that can be answered by their target, the earliest first, among others
-    that wait no longer; `overdue` the rest in the order of their arrival. `finish` is the virtual
-    finish time of the request that is next.
+    `by_target` is a heap of the requests that can still meet their target. It may also contain
+    requests that have left the queue, which are dropped lazily. `overdue` holds the overdue
+    requests in the order in which they were found to be overdue. `virtual_finish` is the virtual
+    finish time of the next request of the class.
     """
 
     traffic_class: TrafficClass
-    waiting: dict[int, _Waiting] = field(default_factory=dict)
+    waiting: dict[int, _WaitingRequest] = field(default_factory=dict)
     by_target: list[tuple[float, int, int]] = field(default_factory=list)
-    overdue: dict[int, _Waiting] = field(default_factory=dict)
-    finish: float = 0.0
+    overdue: dict[int, _WaitingRequest] = field(default_factory=dict)
+    virtual_finish: float = 0.0
 
-    def drop_gone(self) -> None:
-        """Take from the head of `by_target` what waits there no longer."""
+    def drop_stale(self) -> None:
+        """Pop entries from the head of `by_target` that have left the queue or are overdue."""
         while self.by_target and not self._is_timely(self.by_target[0][2]):
             heappop(self.by_target)
 
     def first_timely(self, eligible: Eligible) -> int | None:
-        """Of those that can be answered by their target, the eligible one with the earliest."""
-        self.drop_gone()
+        """Return the eligible request with the earliest target that can still be met, or None."""
+        self.drop_stale()
         if not self.by_target or eligible(self.by_target[0][2]):
             return self.by_target[0][2] if self.by_target else None
         in_order = (ticket for _, _, ticket in sorted(self.by_target))
@@ -117,38 +123,41 @@
         return ticket in self.waiting and ticket not in self.overdue
 
     def ahead_of(self, target_at: float) -> int:
-        """How many would go before a new request."""
+        """Return the number of waiting requests that go before a new one with this target."""
         return sum(
             waiting.overdue_at is None and waiting.target_at <= target_at
             for waiting in self.waiting.values()
         )
 
     @property
-    def timely(self) -> int:
-        """How many can be answered by their target."""
+    def timely_count(self) -> int:
+        """Number of waiting requests that can still meet their target."""
         return len(self.waiting) - len(self.overdue)
 
 
 class AdmissionQueue:
-    """The requests that wait for a server connection of one instance."""
+    """The requests that wait for a server connection of one instance.
+
+    `service_seconds` is the estimated time for which a request holds a connection.
+    """
 
     def __init__(self) -> None:
         self.service_seconds = _INITIAL_SERVICE_SECONDS
         self._classes: dict[str, _ClassQueue] = {}
         self._virtual_time = 0.0
-        self._class_of: dict[int, _ClassQueue] = {}
-        self._order = count()
-        # When a slot was last left for requests that have missed their target.
+        self._queue_of: dict[int, _ClassQueue] = {}
+        self._sequence = count()
+        # When a slot was last available for overdue requests.
         self._slot_left_at = float("-inf")
 
     def __len__(self) -> int:
-        return len(self._class_of)
+        return len(self._queue_of)
 
-    def note_service(self, seconds: float) -> None:
-        """A request held a connection for this long."""
+    def record_service_time(self, seconds: float) -> None:
+        """Update the estimated service time with a request that held a connection this long."""
         self.service_seconds += _SERVICE_SMOOTHING * (seconds - self.service_seconds)
 
-    def enter(
+    def enqueue(
         self,
         ticket: int,
         traffic_class: TrafficClass,
@@ -157,111 +166,111 @@
         slots: int,
         target_at: float = NO_TARGET,
     ) -> Refusal | None:
-        """Queue a request, or refuse it at once."""
+        """Queue a request and return None, or return the refusal if it cannot be served in time."""
         queue = self._classes.setdefault(traffic_class.name, _ClassQueue(traffic_class))
         queue.traffic_class = traffic_class
         wait = self._expected_wait(queue, slots, target_at)
-        if not self._class_of:
+        if not self._queue_of:
             self._slot_left_at = now
         full = len(queue.waiting) >= traffic_class.queue_bound
         if full or now + wait > expires_at:
             return Refusal(ticket, max(wait, _SHORTEST_RETRY_SECONDS), expired=False)
-        excess = self._excess(wait, target_at - now)
-        if excess > 0 and now - self._slot_left_at > _NO_SLOT_LEFT_SECONDS:
-            return Refusal(ticket, _soon(excess, target_at - now), expired=False)
+        excess = self._target_excess(wait, target_at - now)
+        if excess > 0 and now - self._slot_left_at > _NO_SLOT_SECONDS:
+            return Refusal(ticket, _retry_delay(excess, target_at - now), expired=False)
         if not queue.waiting:
-            self._schedule(queue)
-        queue.waiting[ticket] = _Waiting(ticket, expires_at, target_at)
-        heappush(queue.by_target, (target_at, next(self._order), ticket))
-        self._class_of[ticket] = queue
+            self._schedule_next(queue)
+        queue.waiting[ticket] = _WaitingRequest(ticket, expires_at, target_at)
+        heappush(queue.by_target, (target_at, next(self._sequence), ticket))
+        self._queue_of[ticket] = queue
         return None
 
-    def _excess(self, wait: float, time_left: float) -> float:
-        """How much longer a request would take than is good for its target; negative: shorter."""
+    def _target_excess(self, wait: float, time_left: float) -> float:
+        """Return by how much a request exceeds its share of the time left; negative if it fits."""
         return wait + self.service_seconds - time_left * _TARGET_SHARE
 
-    def _schedule(self, queue: _ClassQueue) -> None:
-        start = max(self._virtual_time, queue.finish)
-        queue.finish = start + 1.0 / queue.traffic_class.weight
+    def _schedule_next(self, queue: _ClassQueue) -> None:
+        start = max(self._virtual_time, queue.virtual_finish)
+        queue.virtual_finish = start + 1.0 / queue.traffic_class.weight
 
     def _expected_wait(self, queue: _ClassQueue, slots: int, target_at: float) -> float:
-        """Time until a new request of a class starts: its own queue at its share of the slots."""
+        """Return the estimated wait of a new request, at its class's share of the slots."""
         busy = [other for other in self._classes.values() if other.waiting or other is queue]
         total = sum(other.traffic_class.weight for other in busy)
         share = queue.traffic_class.weight / total
         return queue.ahead_of(target_at) * self.service_seconds / (max(slots, 1) * share)
 
-    def next(self, now: float = 0.0, eligible: Eligible = _any_ticket) -> int | None:
-        """Take the ticket that is due of those that are eligible, None where none of them waits."""
+    def next(self, now: float = 0.0, eligible: Eligible = _always_eligible) -> int | None:
+        """Remove and return the next eligible ticket, or None if no eligible request waits."""
         for queue in self._classes.values():
-            self._note_overdue(queue, now)
-        in_order = sorted(self._classes.values(), key=lambda queue: queue.finish)
+            self._move_overdue(queue, now)
+        in_order = sorted(self._classes.values(), key=lambda queue: queue.virtual_finish)
         for queue in in_order:
             ticket = queue.first_timely(eligible)
             if ticket is not None:
-                return self._take(queue, ticket)
-        if not any(queue.timely for queue in in_order):
+                return self._dequeue(queue, ticket)
+        if not any(queue.timely_count for queue in in_order):
             self._slot_left_at = now
         for queue in in_order:
             ticket = next(filter(eligible, queue.overdue), None)
             if ticket is not None:
-                return self._take(queue, ticket)
+                return self._dequeue(queue, ticket)
         return None
 
-    def _note_overdue(self, queue: _ClassQueue, now: float) -> None:
-        """Set aside what can no longer be answered by its target."""
-        queue.drop_gone()
+    def _move_overdue(self, queue: _ClassQueue, now: float) -> None:
+        """Move requests that can no longer meet their target to `overdue`."""
+        queue.drop_stale()
         while queue.by_target and queue.by_target[0][0] < now + self.service_seconds:
             _, _, ticket = heappop(queue.by_target)
             waiting = queue.waiting[ticket]
             waiting.overdue_at = now
             queue.overdue[ticket] = waiting
-            queue.drop_gone()
+            queue.drop_stale()
 
-    def _take(self, queue: _ClassQueue, ticket: int) -> int:
-        start = queue.finish - 1 / queue.traffic_class.weight
+    def _dequeue(self, queue: _ClassQueue, ticket: int) -> int:
+        start = queue.virtual_finish - 1 / queue.traffic_class.weight
         self._virtual_time = max(self._virtual_time, start)
-        self.leave(ticket)
+        self.remove(ticket)
         if queue.waiting:
-            self._schedule(queue)
+            self._schedule_next(queue)
         return ticket
 
-    def leave(self, ticket: int) -> None:
-        """Forget a request."""
-        queue = self._class_of.pop(ticket, None)
+    def remove(self, ticket: int) -> None:
+        """Remove a request from the queue, if it is there."""
+        queue = self._queue_of.pop(ticket, None)
         if queue is not None:
             queue.waiting.pop(ticket, None)
             queue.overdue.pop(ticket, None)
 
     def expire(self, now: float) -> list[Refusal]:
-        """Requests whose time passed while they waited, or for which no slot is left."""
+        """Remove and refuse the requests that have expired and the overdue ones without a slot."""
         ended = [
             waiting.ticket
             for queue in self._classes.values()
             for waiting in queue.waiting.values()
-            if self._ends_at(waiting) <= now
+            if self._refuse_at(waiting) <= now
         ]
         for ticket in ended:
-            self.leave(ticket)
+            self.remove(ticket)
         retry_after = max(self.service_seconds * len(self), _SHORTEST_RETRY_SECONDS)
         return [Refusal(ticket, retry_after, expired=True) for ticket in ended]
 
-    def _ends_at(self, waiting: _Waiting) -> float:
+    def _refuse_at(self, waiting: _WaitingRequest) -> float:
         if waiting.overdue_at is None:
             return waiting.expires_at
-        hopeless = max(waiting.overdue_at, self._slot_left_at) + _NO_SLOT_LEFT_SECONDS
-        return min(waiting.expires_at, hopeless)
+        overdue_limit = max(waiting.overdue_at, self._slot_left_at) + _NO_SLOT_SECONDS
+        return min(waiting.expires_at, overdue_limit)
 
     def deadline(self) -> float | None:
-        """When the first waiting request ends."""
+        """Return when the next waiting request expires, or None if the queue is empty."""
         times = [
-            self._ends_at(waiting)
+            self._refuse_at(waiting)
             for queue in self._classes.values()
             for waiting in queue.waiting.values()
         ]
         return min(times, default=None)
 
 
-def _soon(excess: float, time_left: float) -> float:
-    """When to come back: once the queue has drained, and with time left to the target."""
-    return max(min(excess, time_left * _RETRY_SHARE), _SOONEST_RETRY_SECONDS)
+def _retry_delay(excess: float, time_left: float) -> float:
+    """Return the retry delay: the time to drain the queue, bounded to leave time to the target."""
+    return max(min(excess, time_left * _TARGET_RETRY_SHARE), _SHORTEST_TARGET_RETRY_SECONDS)
--- a/src/orchidwind/shared/core/answer_times.py
+++ b/src/orchidwind/shared/core/answer_times.py
@@ -1,123 +1,125 @@
-"""How soon an instance would answer one more request, from what this proxy has seen. No I/O.
+"""Estimates an instance's response time from the answers that this proxy has seen. No I/O.
 
-What for: reads go where they are answered first. It answers uneven load on instances, slow ones and
-those that answer nothing although they look well. Each home decides by what it sees by itself: the
-times of answers, and how long what is under way has been waiting.
+Reads are sent to the instance that is expected to answer first. This handles uneven load, slow
+instances, and instances that look healthy but answer nothing. Each home proxy decides from its own
+observations only: the response times, and how long requests in progress have been waiting.
 
-The estimate is the mean time of the last answers, the age of the oldest request that is still
-without one, or that of one that was given up lately, whichever is longest, for each request that
-would be ahead and for the new one. Without news it goes back to that of an instance of which
-nothing is known, so that one that was slow is tried again.
+The estimate per request is the longest of the mean of recent response times, the age of the oldest
+unanswered request, and the wait of a request that was abandoned recently. It is multiplied by the
+number of requests ahead of the new one, plus one. Without new observations it decays to the
+estimate of an unknown instance, so that an instance that was slow is tried again.
 
-Owns: the two means of one instance, and which exchanges are under way. Times are in seconds of one
-steady clock.
+Owns: two moving averages of one instance, and the start times of the requests in progress. Times
+are in seconds of a monotonic clock.
 """
 
 from __future__ import annotations
 
 from math import exp
 
-# Before the first answer. Low, so that an instance that has answered nothing yet is tried.
-_FIRST_ANSWER_SECONDS = 0.01
-# Weight of one answer in the mean of the last ones.
+# Estimate before the first answer. Low, so that an instance that has not answered yet is tried.
+_INITIAL_ESTIMATE_SECONDS = 0.01
+# Weight of one answer in the mean of recent response times.
 _RECENT_WEIGHT = 0.1
-# Weight of that mean in the usual time, with each answer: the usual time is that of an instance
-# whose work does not wait, so it follows a shorter time soon and a longer one hardly.
-_USUAL_FALLS_WEIGHT = 0.05
-_USUAL_RISES_WEIGHT = 0.002
-# So many answers make the first mean.
-_FIRST_ANSWERS = 10
-# Where answers take so many times as long as usual, most of it is waiting at the instance.
+# Weight of the recent mean in the usual response time, applied with each answer. The usual time is
+# that of an instance without queueing, so it follows a decrease quickly and an increase slowly.
+_USUAL_DECREASE_WEIGHT = 0.05
+_USUAL_INCREASE_WEIGHT = 0.002
+# Number of first answers that are averaged with equal weight.
+_WARM_UP_ANSWERS = 10
+# If the recent mean exceeds the usual response time by this factor, most of it is queueing at the
+# instance.
 _QUEUEING_FACTOR = 1.6
-# An answer that takes so many times as long as the last ones, and at least so many seconds, may be
-# lost.
+# An answer is overdue, and may be lost, after this multiple of the recent mean, but no sooner than
+# after this many seconds.
 _OVERDUE_FACTOR = 4.0
 _SHORTEST_OVERDUE_SECONDS = 0.1
-# Without an answer the mean goes back to the first one by two thirds in so many seconds.
-_FORGET_SECONDS = 1.0
+# Time constant of the decay without answers, in seconds: after it, about a third of the difference
+# to the initial estimate is left.
+_DECAY_SECONDS = 1.0
 
 
 class AnswerTimes:
-    """The answers of one instance."""
+    """Response times of one instance, and its requests in progress by connection number."""
 
     def __init__(self) -> None:
         self._answers = 0
-        self._usual = _FIRST_ANSWER_SECONDS
-        self._recent = _FIRST_ANSWER_SECONDS
-        self._noted_at = float("-inf")
-        self._given_up = 0.0
-        self._given_up_at = float("-inf")
+        self._usual = _INITIAL_ESTIMATE_SECONDS
+        self._recent = _INITIAL_ESTIMATE_SECONDS
+        self._answered_at = float("-inf")
+        self._abandoned_wait = 0.0
+        self._abandoned_at = float("-inf")
         self._began_at: dict[int, float] = {}
 
     def began(self, connection: int, now: float) -> None:
-        """A request was sent on a connection."""
+        """Record that a request was sent on a connection."""
         self._began_at[connection] = now
 
     def ended(self, connection: int, now: float, answered: bool) -> None:
-        """It was answered, or given up."""
+        """Record that the request on a connection was answered or abandoned."""
         began = self._began_at.pop(connection, None)
         if began is None:
             return
         seconds = now - began
         if answered:
-            self._note_answer(seconds, self.recent(now))
-            self._noted_at = now
+            self._update_means(seconds, self.recent(now))
+            self._answered_at = now
         else:
-            self._given_up = max(self._given_up_lately(now), seconds)
-            self._given_up_at = now
+            self._abandoned_wait = max(self._decayed_abandoned_wait(now), seconds)
+            self._abandoned_at = now
 
-    def _note_answer(self, seconds: float, recent: float) -> None:
+    def _update_means(self, seconds: float, recent: float) -> None:
         self._answers += 1
-        if self._answers <= _FIRST_ANSWERS:
+        if self._answers <= _WARM_UP_ANSWERS:
             self._recent = recent + (seconds - recent) / self._answers
             self._usual = self._recent
             return
         self._recent = recent + _RECENT_WEIGHT * (seconds - recent)
         rises = self._recent > self._usual
-        weight = _USUAL_RISES_WEIGHT if rises else _USUAL_FALLS_WEIGHT
+        weight = _USUAL_INCREASE_WEIGHT if rises else _USUAL_DECREASE_WEIGHT
         self._usual += weight * (self._recent - self._usual)
 
     def rejected(self, connection: int) -> None:
-        """It was not run, so its time says nothing."""
+        """Discard the request on a connection: it did not run, so its time means nothing."""
         self._began_at.pop(connection, None)
 
     def recent(self, now: float) -> float:
-        """The mean time of the last answers."""
-        if self._noted_at == float("-inf"):
+        """Return the mean of recent response times, decayed by the time without answers."""
+        if self._answered_at == float("-inf"):
             return self._recent
-        # A request sent after the last answer would be answered by now.
-        without_news = max(now - self._noted_at - self._recent, 0.0)
-        kept = exp(-without_news / _FORGET_SECONDS)
-        forgotten = min(self._recent, _FIRST_ANSWER_SECONDS)
-        return forgotten + (self._recent - forgotten) * kept
+        # Decay starts when a request sent right after the last answer should have been answered.
+        without_answer = max(now - self._answered_at - self._recent, 0.0)
+        remaining = exp(-without_answer / _DECAY_SECONDS)
+        decayed = min(self._recent, _INITIAL_ESTIMATE_SECONDS)
+        return decayed + (self._recent - decayed) * remaining
 
-    def _given_up_lately(self, now: float) -> float:
-        """How long a request waited in vain, less the longer ago that is."""
-        return self._given_up * exp((self._given_up_at - now) / _FORGET_SECONDS)
+    def _decayed_abandoned_wait(self, now: float) -> float:
+        """Return how long the last abandoned request waited, decayed by the time since."""
+        return self._abandoned_wait * exp((self._abandoned_at - now) / _DECAY_SECONDS)
 
     def oldest_wait(self, now: float) -> float:
-        """For how long the oldest request that is under way has waited; 0 where there is none."""
+        """Return the age of the oldest request in progress; 0 if there is none."""
         if not self._began_at:
             return 0.0
         return now - next(iter(self._began_at.values()))
 
     def overdue(self, now: float) -> int:
-        """How many requests have waited for so long that their answers may be lost."""
+        """Return the number of requests in progress whose answers are overdue and may be lost."""
         return sum(at <= now for at in self.overdue_times())
 
     def overdue_times(self) -> list[float]:
-        """When the answer to each request that is under way becomes overdue, or became so."""
+        """Return for each request in progress when its answer becomes, or became, overdue."""
         return [began + self._overdue_after for began in self._began_at.values()]
 
     @property
     def _overdue_after(self) -> float:
         return max(self._recent * _OVERDUE_FACTOR, _SHORTEST_OVERDUE_SECONDS)
 
-    def queues(self, now: float) -> bool:
-        """Whether answers take so much longer than usual that work waits at the instance."""
+    def is_queueing(self, now: float) -> bool:
+        """Return whether response times show that requests queue at the instance."""
         return self.recent(now) > self._usual * _QUEUEING_FACTOR
 
     def expected(self, ahead: int, now: float) -> float:
-        """Seconds until the answer to a new request with so many ahead of it."""
-        longest = max(self.recent(now), self.oldest_wait(now), self._given_up_lately(now))
+        """Return the estimated seconds until a new request with `ahead` before it is answered."""
+        longest = max(self.recent(now), self.oldest_wait(now), self._decayed_abandoned_wait(now))
         return longest * (1 + ahead)
--- a/src/orchidwind/shared/core/checked_decoding.py
+++ b/src/orchidwind/shared/core/checked_decoding.py
@@ -1,6 +1,6 @@
-"""Decodes what operators wrote; an error names its source, key and reason.
+"""Decodes files written by operators; every error names the file, the key and the reason.
 
-Relies on msgspec for the form of the text; raises SettingsError alone.
+msgspec checks the form of the text. The only exception raised is SettingsError.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 def decode_checked(source: str, decode: Callable[[], T]) -> T:
-    """Call a decoder of msgspec; raises SettingsError, naming `source`."""
+    """Call a msgspec decoder and convert its errors to SettingsError with `source` as the file."""
     try:
         return decode()
     except OSError as error:
--- a/src/orchidwind/shared/core/concurrency_window.py
+++ b/src/orchidwind/shared/core/concurrency_window.py
@@ -1,17 +1,18 @@
-"""How much one proxy keeps running at one instance, learned from its replies. No I/O.
+"""Adaptive limit on the requests that one proxy runs at one instance at a time. No I/O.
 
-An instance runs a few requests at once, queues some and rejects the others; several proxies share
-it, and none knows how busy it is. Additive increase, multiplicative decrease: each rejection makes
-the window smaller, answers that come while it is full make it grow again. So requests wait where
-they can be put in order, and not in the instance's queue.
+An instance runs a few requests at once, queues some and rejects the rest. Several proxies share it,
+and none of them knows its load. The limit (the window) uses additive increase and multiplicative
+decrease: a rejection shrinks the window, and answers that arrive while it is full make it grow.
+Requests then wait in the proxy, which can order them, instead of in the instance's queue.
 
-The instance has so many slots, and so many proxies hold connections to it: the fair share of one is
-what it may have under way there, so that all of them together leave little waiting. A window begins
-with it, grows beyond it while answers come as soon as usual (others use less of theirs), and goes
-back to it when answers show that work waits at the instance.
+The fair share of a proxy follows from the number of slots of the instance and the number of proxies
+that hold connections to it. It is the number of requests that the proxy may have in progress there
+so that few requests of all proxies together wait. A window starts at the fair share, grows beyond
+it while answers arrive as fast as usual (other proxies use less than their shares), and shrinks
+back to it when response times show that requests queue at the instance.
 
-Owns: the size of one window. Relies on a report of each answer and each rejection, with the time of
-the latter in seconds of one steady clock.
+Owns: the size of one window. Its user reports each answer and each rejection, with the time in
+seconds of a monotonic clock.
 
 Source of the method: Chiu and Jain, "Analysis of the increase and decrease algorithms for
 congestion avoidance in computer networks" (1989).
@@ -19,62 +20,67 @@
 
 from __future__ import annotations
 
-# Requests at once before anything is learned. A little more than the first users' instances
-# run at once (2 or 3 slots).
+# Initial window, in requests, if no fair share is given. Slightly more than the instances of the
+# first users run at once (2 or 3 slots).
 FIRST_WINDOW = 4.0
-# Requests at once at the least, as only an answer can make the window grow again.
-_SMALLEST_WINDOW = 1.0
-# Requests that all proxies together may have under way for each slot: one runs, and the next one is
-# there when it ends although proxies do not ask in step.
-_UNDER_WAY_A_SLOT = 2.0
-# A window grows to so many fair shares at most. With two, a third of the proxies can use all slots
-# while the others have nothing to do.
-_MOST_SHARES = 2.0
-# Factor of the window at a rejection. Milder than the usual half: of a few slots the half stays
-# idle until the window has grown again.
+# Minimum window. One request must always be allowed, as only an answer makes the window grow again.
+_MIN_WINDOW = 1.0
+# Requests that all proxies together may have in progress for each slot: one that runs and one that
+# is ready to run when it ends, although the proxies do not send in step.
+_REQUESTS_PER_SLOT = 2.0
+# Maximum window, in fair shares. With two, a third of the proxies can use all slots while the
+# others are idle.
+_MAX_FAIR_SHARES = 2.0
+# Factor by which a rejection shrinks the window. Milder than the usual half: with only a few slots,
+# half of them would stay idle until the window has grown again.
 _DECREASE = 0.7
-# The same where answers show that requests wait at the instance: it is no loss yet.
+# Factor by which signs of queueing at the instance shrink the window. Milder still, because no
+# request has been rejected yet.
 _DECREASE_QUEUEING = 0.9
-# Seconds for which rejections count as one: a full queue rejects many requests at the same moment.
-# Below the 0.1 to 0.3 s in which a full queue of the first users' instances runs empty.
+# Rejections within this many seconds shrink the window once: a full queue rejects many requests at
+# the same moment. Shorter than the 0.1 to 0.3 s in which a full queue of the first users' instances
+# drains.
 _DECREASE_PAUSE_SECONDS = 0.05
 
 
 def fair_share(slots: int, proxies: int) -> float:
-    """How much one of so many proxies may have under way at an instance with so many slots."""
-    return slots * _UNDER_WAY_A_SLOT / max(proxies, 1)
+    """Return how many requests one proxy may have in progress at an instance."""
+    return slots * _REQUESTS_PER_SLOT / max(proxies, 1)
 
 
 class ConcurrencyWindow:
-    """The requests that may run at once, at least one."""
+    """The number of requests that may run at once; never less than one."""
 
     def __init__(self, fair_share: float = FIRST_WINDOW) -> None:
-        self._fair_share = self._size = max(fair_share, _SMALLEST_WINDOW)
+        self._fair_share = self._size = max(fair_share, _MIN_WINDOW)
         self._decreased_at = float("-inf")
 
     @property
     def size(self) -> int:
-        """How many requests may run at once."""
+        """Number of requests that may run at once."""
         return int(self._size)
 
     def set_fair_share(self, share: float) -> None:
-        """The slots or the proxies that share them have changed."""
-        self._fair_share = max(share, _SMALLEST_WINDOW)
+        """Set the fair share after the slots of the instance or the number of proxies changed."""
+        self._fair_share = max(share, _MIN_WINDOW)
 
-    def answered(self, running: int, queues: bool, now: float) -> None:
-        """The instance took a request, while so many ran; `queues`: work waits there."""
-        if queues and self._size > self._fair_share:
+    def answered(self, running: int, queueing: bool, now: float) -> None:
+        """Record an answer that came while `running` requests were in progress.
+
+        `queueing` is true if response times show that requests queue at the instance.
+        """
+        if queueing and self._size > self._fair_share:
             self._shrink(_DECREASE_QUEUEING, now)
-        elif running >= self.size and (not queues or self._size < self._fair_share):
-            most = self._fair_share * _MOST_SHARES
-            self._size = min(self._size + 1.0 / self._size, most)
+        elif running >= self.size and (not queueing or self._size < self._fair_share):
+            maximum = self._fair_share * _MAX_FAIR_SHARES
+            self._size = min(self._size + 1.0 / self._size, maximum)
 
     def rejected(self, now: float) -> None:
-        """The instance had no room for a request."""
+        """Record that the instance rejected a request for lack of room."""
         self._shrink(_DECREASE, now)
 
     def _shrink(self, factor: float, now: float) -> None:
         if now - self._decreased_at < _DECREASE_PAUSE_SECONDS:
             return
         self._decreased_at = now
-        self._size = max(self._size * factor, _SMALLEST_WINDOW)
+        self._size = max(self._size * factor, _MIN_WINDOW)
--- a/src/orchidwind/shared/core/errors.py
+++ b/src/orchidwind/shared/core/errors.py
@@ -1,6 +1,6 @@
-"""The closed list of error kinds, the table from kind to answer, and the exception tree.
+"""Error kinds, the response that a caller gets for each, and the exception classes.
 
-Owns: what a caller gets for each kind: its SQLSTATE, whether the request ran and when to come back.
+Owns: the SQLSTATE, the information whether the request ran, and the retry delay of each error kind.
 Source of the SQLSTATE codes: PostgreSQL manual, appendix A.
 """
 
@@ -22,7 +22,7 @@
 
 @unique
 class ErrorKind(Enum):
-    """Every way a request can end other than by its own answer."""
+    """The complete list of errors with which a request can end."""
 
     OVERLOADED = "overloaded"
     DEADLINE_PASSED = "deadline_passed"
@@ -50,9 +50,9 @@
 
 
 class Answer(Struct, frozen=True):
-    """What a caller gets for an error kind.
+    """The response to a caller for one error kind.
 
-    `retry_after_milliseconds` is the default time to come back, None where a repeat is of no use.
+    `retry_after_milliseconds` is the default retry delay, None if a retry is of no use.
     """
 
     sqlstate: str
@@ -61,10 +61,10 @@
     severity: str = "ERROR"
 
 
-# The times to come back, in milliseconds: 500 within a change of primary, which takes about a
-# second, and until a proxy has news of its configuration, 200 for a queue to drain, 50 where
-# another attempt may run at once, 1000 where other callers have to end first. How soon refused
-# callers repeat depends on them.
+# The retry delays, in milliseconds: 500 while the primary is being replaced, which takes about a
+# second, and until a proxy receives a newer configuration; 200 for a queue to drain; 50 where a
+# retry may run at once; 1000 where other callers have to finish first. They determine how soon
+# refused callers retry.
 ANSWERS: dict[ErrorKind, Answer] = {
     ErrorKind.OVERLOADED: Answer("53000", Ran.NO, 200),
     ErrorKind.DEADLINE_PASSED: Answer("57014", Ran.NO, 200),
@@ -93,11 +93,11 @@
 
 
 class OrchidwindError(Exception):
-    """Root of all errors that this project raises."""
+    """Base class of all errors that this project raises."""
 
 
 class SettingsError(OrchidwindError):
-    """A settings or operator file is wrong: one line with file, key and reason."""
+    """An invalid settings or operators' file: one line with the file, the key and the reason."""
 
     def __init__(self, source: str, key: str, reason: str) -> None:
         super().__init__(f"{source}: {key}: {reason}")
@@ -107,13 +107,13 @@
 
 
 class PlatformError(OrchidwindError):
-    """The platform's service did not answer, or refused."""
+    """The platform's service did not answer, or refused a call."""
 
 
 class PlatformConflict(PlatformError):
-    """The platform holds another version of the object than the one named.
+    """The platform holds a different version of the object than the call named.
 
-    `held` is the body of its answer, which may contain that object.
+    `held` is the body of the platform's answer, which may contain the object that it holds.
     """
 
     def __init__(self, message: str, held: bytes = b"") -> None:
@@ -122,21 +122,21 @@
 
 
 class PlatformMissing(PlatformError):
-    """The platform holds no such object."""
+    """The platform holds no object of this name."""
 
 
 class PlatformUncertain(PlatformError):
-    """No answer came to a call that changes something: it may have been done, or may be yet."""
+    """A modifying call was not answered: it may have taken effect, or may still do so."""
 
 
 class PlatformVersionGone(PlatformError):
-    """A watch asked for a version that the platform no longer holds."""
+    """A watch named a version that the platform no longer holds."""
 
 
 class RequestError(OrchidwindError):
-    """A request ended with one of the closed list of error kinds.
+    """A request failed with one of the error kinds.
 
-    `sqlstate` and `detail` differ from the table only for errors that a back end reported.
+    `sqlstate` and `detail` differ from `ANSWERS` only for errors that a database instance reported.
     """
 
     def __init__(
@@ -161,7 +161,10 @@
         self.retry_after_milliseconds = retry_after_milliseconds
 
     def hint(self) -> str:
-        """Text of the HINT field: whether the request ran, and when to come back."""
+        """Return the text of the HINT field: whether the request ran, and the retry delay.
+
+        Empty for an error of the statement itself.
+        """
         if self.kind is ErrorKind.STATEMENT_FAILED:
             return ""
         words = [f"ran={self.ran.value}"]
@@ -173,8 +176,8 @@
 class BackendConnectionLost(OrchidwindError):
     """The connection to a database instance broke.
 
-    `sent` tells whether a byte of the statement had left, `delivered` whether a part of its answer
-    had gone on to the caller.
+    `sent` is true if any byte of the statement had been sent, `delivered` if a part of its answer
+    had been passed on to the caller.
     """
 
     def __init__(self, message: str, *, sent: bool, delivered: bool = False) -> None:
@@ -184,7 +187,7 @@
 
 
 class BackendRefused(OrchidwindError):
-    """A database instance refused a new connection; `sqlstate` 53300 means its limit is met."""
+    """An instance refused a new connection; `sqlstate` 53300 means its connection limit is met."""
 
     def __init__(self, message: str, sqlstate: str) -> None:
         super().__init__(message)
@@ -192,7 +195,7 @@
 
 
 class PeerUnavailable(OrchidwindError):
-    """The link to another proxy is not up; `sent` tells whether the request had left."""
+    """The link to another proxy is down; `sent` is true if the request had been sent."""
 
     def __init__(self, message: str, *, sent: bool) -> None:
         super().__init__(message)
@@ -200,4 +203,4 @@
 
 
 class ProofMissing(OrchidwindError):
-    """It could not be shown that an instance is still the primary of its group."""
+    """It could not be proven that an instance is still the primary of its group."""
--- a/src/orchidwind/shared/core/pool.py
+++ b/src/orchidwind/shared/core/pool.py
@@ -1,17 +1,17 @@
-"""The server connections that a home holds to one instance.
+"""The pool of server connections from a home proxy to one instance.
 
-The pool opens connections ahead of need up to its share, grants them to waiting requests in the
-order of the admission queue, and closes those whose state is uncertain. When the database says
-that its limit is met (SQLSTATE 53300), the database has the last word: the usable share shrinks,
-and grows again step by step.
+The pool grants connections to waiting requests in the order of the admission queue and closes
+connections whose state is uncertain. An eager pool opens connections in advance, up to its share.
+If the instance rejects a connection because its connection limit is reached (SQLSTATE 53300), the
+pool lowers its own limit to the connections that it has, and raises it again step by step.
 
-A connection belongs to one tenant. A request whose tenant has none that is idle gets a new one, in
-the place of the one that was idle for longest where there is no other place.
+Each connection belongs to one tenant. A request whose tenant has no idle connection gets a new one.
+If the pool is full, the connection that has been idle for longest is closed to make room.
 
-Owns: which connections are open, idle, held and being opened, and when to open the next. Relies on
-`admission` for the order of requests, on `concurrency_window` for how many may run and on
-`tenant_connections` for whose a connection is; its user carries out the effects and reports what
-came of them. Times are in seconds of one steady clock.
+Owns: which connections are idle, busy or being opened, and when to open the next one.
+`admission` decides the order of requests, `concurrency_window` how many may run at once, and
+`tenant_connections` records the tenant of each connection. The code that uses the pool carries out
+the returned effects and reports their results. Times are in seconds of a monotonic clock.
 """
 
 from __future__ import annotations
@@ -25,34 +25,37 @@
 from orchidwind.shared.core.concurrency_window import ConcurrencyWindow
 from orchidwind.shared.core.tenant_connections import NO_TENANT, TenantConnections
 
-# Seconds until a connection that could not be opened is tried again, doubled up to the longest.
-# The first bounds the pause after a lost instance, the second the attempts at a dead one.
+# Delay before the next attempt after a connection could not be opened, in seconds; it is doubled
+# with each failure up to the longest. The first bounds the pause after an instance was lost, the
+# second the rate of attempts at an instance that stays down.
 _REOPEN_SECONDS = 0.1
 _LONGEST_REOPEN_SECONDS = 2.0
-# Seconds after which an eager pool tries one connection more than the limit it met. Each
-# attempt costs the database a login.
-_GROW_AGAIN_SECONDS = 2.0
-# The same, in seconds, where connections are opened for requests that wait: after a restart of
-# proxies an instance counts their old connections for up to 3 s, and an attempt that it turns away
-# costs it nothing. With the longer time a restarted home would serve on one connection for seconds.
-_TRY_LIMIT_SECONDS = 0.25
-# Connections of a proxy and of its life before that an instance counts at the same time.
-_GENERATIONS = 2
-# Connections opened at once for requests that wait. Each new one holds a slot of the instance for
-# longer than a request does (12 to 32 ms, docs/DECISIONS.md, "Homes for promoted groups"): opened
-# all at once, they hold up the requests that they were opened for.
+# Seconds after which an eager pool raises its lowered limit by one connection. Each attempt costs
+# the database a login.
+_EAGER_GROW_SECONDS = 2.0
+# The same for a pool that opens connections on demand, in seconds. After proxies restart, an
+# instance counts their old connections for up to 3 s, and an attempt that it rejects costs it
+# nothing. With the longer delay, a restarted home proxy would serve on one connection for seconds.
+_ON_DEMAND_GROW_SECONDS = 0.25
+# Number of incarnations of a proxy, the current and the previous one, whose connections an instance
+# may count at the same time.
+_COUNTED_INCARNATIONS = 2
+# Maximum number of connections without a tenant that are opened at once for waiting requests. A new
+# connection holds a slot of the instance for longer than a request does (12 to 32 ms,
+# docs/DECISIONS.md, "Homes for promoted groups"): if all were opened at once, they would delay the
+# requests that they were opened for.
 MOST_OPENING = 2
 
 
 class Grant(Struct, frozen=True):
-    """A waiting request got a connection."""
+    """Effect: the request with this ticket may use this connection."""
 
     ticket: int
     connection: int
 
 
 class OpenConnection(Struct, frozen=True):
-    """Open a connection of a tenant to an instance under this number."""
+    """Effect: open a connection to an instance for a tenant; `connection` is its number."""
 
     instance: str
     connection: int
@@ -60,7 +63,7 @@
 
 
 class CloseConnection(Struct, frozen=True):
-    """Close a connection."""
+    """Effect: close a connection."""
 
     connection: int
 
@@ -69,7 +72,10 @@
 
 
 class InstancePool:
-    """Connections, and the requests that wait for them."""
+    """The connections to one instance and the requests that wait for them.
+
+    Most methods return the effects that the user of the pool has to carry out.
+    """
 
     def __init__(
         self,
@@ -79,10 +85,12 @@
         eager: bool = True,
         window: ConcurrencyWindow | None = None,
     ) -> None:
-        """Without `eager`, connections are opened only for requests that wait.
+        """Create an empty pool that holds at most `share` connections.
 
-        With a `window`, requests are granted connections only while it has room; the user of the
-        pool then reports each exchange. A connection whose transaction rests takes no room.
+        `numbers` yields the numbers of new connections. Unless `eager`, connections are opened only
+        for waiting requests. With a `window`, requests are granted connections only while the
+        window has room, and the user of the pool must report the begin and end of each exchange. A
+        connection whose transaction is idle takes no room in the window.
         """
         self._eager = eager
         self.window = window
@@ -100,32 +108,32 @@
         self._reopen_at = 0.0
         self._reopen_delay = _REOPEN_SECONDS
         self._grow_at = 0.0
-        self._most_needed = 0
+        self._peak_demand = 0
 
     @property
     def size(self) -> int:
-        """Connections that are open or being opened."""
+        """Number of connections that are open or being opened."""
         return len(self.idle) + len(self.busy) + len(self.opening)
 
     @property
     def usable(self) -> int:
-        """How many connections the pool may hold now."""
+        """Number of connections that the pool may hold at present."""
         return min(self.share, self._limit)
 
     @property
     def load(self) -> float:
-        """Requests that run or wait, for each connection that may be held."""
+        """Number of running and waiting requests per usable connection."""
         return (len(self.queue) + len(self.busy)) / max(self.usable, 1)
 
     def expected_answer(self, now: float) -> float:
-        """Seconds until one more request would be answered, as far as is known here."""
+        """Return the estimated seconds until one more request would be answered."""
         return self.answer_times.expected(len(self.running) + len(self.queue), now)
 
     def set_share(self, share: int, now: float) -> list[PoolEffect]:
-        """Hold this many connections; a lower share closes idle ones at once."""
+        """Set the maximum number of connections; surplus idle connections are closed at once."""
         self.share = share
         self._limit = share
-        return self._settle(now)
+        return self._rebalance(now)
 
     def acquire(
         self,
@@ -136,74 +144,80 @@
         target_at: float = NO_TARGET,
         tenant: str = NO_TENANT,
     ) -> list[PoolEffect]:
-        """Ask for a connection of a tenant: granted now, queued, or refused."""
+        """Request a connection for a tenant: it is granted at once, queued or refused."""
         slots = self.usable if self.window is None else min(self.usable, self.window.size)
-        refusal = self.queue.enter(ticket, traffic_class, now, expires_at, max(slots, 1), target_at)
+        refusal = self.queue.enqueue(
+            ticket, traffic_class, now, expires_at, max(slots, 1), target_at
+        )
         if refusal is not None:
             return [refusal]
-        self.tenants.waits(ticket, tenant)
-        return self._settle(now)
+        self.tenants.request_queued(ticket, tenant)
+        return self._rebalance(now)
 
     def opened(self, connection: int, now: float) -> list[PoolEffect]:
-        """A connection is ready."""
+        """Record that a connection has been opened."""
         if connection not in self.opening:
             return [CloseConnection(connection)]
         self.opening.discard(connection)
         self.idle.append(connection)
         self._reopen_delay = _REOPEN_SECONDS
-        return self._settle(now)
+        return self._rebalance(now)
 
     def open_failed(self, connection: int, now: float, limit_met: bool) -> list[PoolEffect]:
-        """A connection could not be opened; try again later, with fewer if the limit is met."""
+        """Record a failed attempt to open a connection and schedule the next one.
+
+        If the instance's connection limit was reached (`limit_met`), the pool's limit is lowered.
+        """
         self.opening.discard(connection)
-        self.tenants.closed(connection)
+        self.tenants.connection_closed(connection)
         if limit_met:
             self._limit = max(self.size, 1)
             self._grow_at = now + self._grow_seconds
         if limit_met and not self._eager:
-            self._reopen_at = now + _TRY_LIMIT_SECONDS
-            return self._settle(now)
+            self._reopen_at = now + _ON_DEMAND_GROW_SECONDS
+            return self._rebalance(now)
         self._reopen_at = now + self._reopen_delay
         self._reopen_delay = min(self._reopen_delay * 2, _LONGEST_REOPEN_SECONDS)
-        return self._settle(now)
+        return self._rebalance(now)
 
     def release(self, connection: int, now: float, reusable: bool) -> list[PoolEffect]:
-        """A request gave its connection back."""
+        """Return a granted connection to the pool; it is closed unless `reusable`."""
         granted_at = self.busy.pop(connection, None)
         effects: list[PoolEffect] = []
         if granted_at is None:
             return effects
         if self.window is None:
-            self.queue.note_service(now - granted_at)
+            self.queue.record_service_time(now - granted_at)
         self.running.discard(connection)
         if reusable:
             self.idle.append(connection)
         else:
             effects.append(self._close(connection))
-        return effects + self._settle(now)
+        return effects + self._rebalance(now)
 
     def lost(self, connection: int, now: float) -> list[PoolEffect]:
-        """A connection broke by itself."""
+        """Record that a connection broke."""
         self.busy.pop(connection, None)
         self.running.discard(connection)
         if connection in self.idle:
             self.idle.remove(connection)
         self.opening.discard(connection)
-        self.tenants.closed(connection)
+        self.tenants.connection_closed(connection)
         self._reopen_at = max(self._reopen_at, now + self._reopen_delay)
-        return self._settle(now)
+        return self._rebalance(now)
 
     def exchange_began(self, connection: int, now: float) -> None:
-        """A request runs on a connection that it was granted."""
+        """Record that a request was sent on a granted connection."""
         self.running.add(connection)
         self.answer_times.began(connection, now)
 
     def exchange_ended(
         self, connection: int, seconds: float, rejected: bool | None, now: float
     ) -> list[PoolEffect]:
-        """It ended after so many seconds; `rejected`: the instance had no room for it.
+        """Record the end of a request that took this many seconds.
 
-        None: it was not answered.
+        `rejected` is true if the instance rejected the request for lack of room, false if the
+        request was answered, and None if no answer came.
         """
         if rejected:
             self.answer_times.rejected(connection)
@@ -212,31 +226,34 @@
         if self.window is not None and rejected:
             self.window.rejected(now)
         elif self.window is not None and rejected is False:
-            queues = self.answer_times.queues(now)
-            self.window.answered(len(self.running), queues, now)
-            self.queue.note_service(seconds)
+            queueing = self.answer_times.is_queueing(now)
+            self.window.answered(len(self.running), queueing, now)
+            self.queue.record_service_time(seconds)
         self.running.discard(connection)
-        return self._settle(now)
+        return self._rebalance(now)
 
     def cancel(self, ticket: int) -> None:
-        """A waiting request gave up."""
-        self.queue.leave(ticket)
-        self.tenants.ended(ticket)
+        """Remove a waiting request that was abandoned."""
+        self.queue.remove(ticket)
+        self.tenants.request_ended(ticket)
 
     def tick(self, now: float) -> list[PoolEffect]:
-        """Refuse what expired and open what is missing."""
+        """Refuse expired requests and open the connections that are needed."""
         if self._grow_at and now >= self._grow_at and self._limit < self.share:
             self._limit += 1 if self._eager else max(1, self._limit // 2)
             self._grow_at = now + self._grow_seconds
         expired = self.queue.expire(now)
         for refusal in expired:
-            self.tenants.ended(refusal.ticket)
-        return [*expired, *self._settle(now)]
+            self.tenants.request_ended(refusal.ticket)
+        return [*expired, *self._rebalance(now)]
 
     def deadline(self, now: float = float("-inf")) -> float | None:
-        """When `tick` has something to do; with a window, `now` tells what is overdue already."""
+        """Return when `tick` must be called next, or None.
+
+        With a window, only answers that become overdue after `now` are considered.
+        """
         times = [self.queue.deadline()]
-        if self._wants_another(now):
+        if self._needs_connection(now):
             times.append(self._reopen_at)
         if self._limit < self.share:
             times.append(self._grow_at)
@@ -245,25 +262,27 @@
         return min((time for time in times if time is not None), default=None)
 
     def trim(self) -> list[PoolEffect]:
-        """Close idle connections beyond the most that were needed at once since the last trim.
+        """Close idle connections beyond the peak demand since the last call.
 
-        One stays. Fewer connections leave room for the new ones of proxies that lost power: an
-        instance counts their old ones for some seconds more. Of those of tenants so many stay as
-        leave that room, since another tenant's cannot be used in their place.
+        At least one connection is kept. Holding few connections leaves room for the new connections
+        of proxies that lost power, because an instance counts their old ones for some seconds more.
+        If idle connections belong to tenants, more are kept, since another tenant's connection
+        cannot replace them: the usable number divided by `_COUNTED_INCARNATIONS`, which still
+        leaves room for the connections of one earlier incarnation.
         """
-        of_tenants = self.tenants.among(self.idle) - {NO_TENANT}
-        kept = self.usable // _GENERATIONS if of_tenants else 1
-        spare = self.size - max(self._most_needed, kept)
-        self._most_needed = len(self.busy) + len(self.queue)
+        of_tenants = self.tenants.tenants_of(self.idle) - {NO_TENANT}
+        kept = self.usable // _COUNTED_INCARNATIONS if of_tenants else 1
+        surplus = self.size - max(self._peak_demand, kept)
+        self._peak_demand = len(self.busy) + len(self.queue)
         effects: list[PoolEffect] = []
-        while spare > 0 and self.idle:
-            # The connection that has been idle for longest is the first.
+        while surplus > 0 and self.idle:
+            # The list is ordered by the time of release: the first has been idle for longest.
             effects.append(self._close(self.idle.pop(0)))
-            spare -= 1
+            surplus -= 1
         return effects
 
     def borrow_idle(self, now: float) -> int | None:
-        """Take an idle connection for the proxy's own use, None where there is none."""
+        """Take an idle connection for the proxy's own use; None if there is none."""
         if not self.idle:
             return None
         connection = self.idle.pop()
@@ -271,7 +290,7 @@
         return connection
 
     def take_idle(self, connection: int, now: float) -> bool:
-        """Take one idle connection for the proxy's own use; whether it is idle."""
+        """Take this connection for the proxy's own use; return False if it is not idle."""
         if connection not in self.idle:
             return False
         self.idle.remove(connection)
@@ -279,24 +298,24 @@
         return True
 
     def open_one(self) -> list[OpenConnection]:
-        """Open a connection though nobody waits, if there is none."""
+        """Open a connection without a waiting request if the pool has none."""
         return [] if self.size else [self._open(NO_TENANT)]
 
     def _open(self, tenant: str) -> OpenConnection:
         connection = next(self._numbers)
         self.opening.add(connection)
-        self.tenants.opening(connection, tenant)
+        self.tenants.connection_opening(connection, tenant)
         return OpenConnection(self.instance, connection, tenant)
 
     def _close(self, connection: int) -> CloseConnection:
-        self.tenants.closed(connection)
+        self.tenants.connection_closed(connection)
         return CloseConnection(connection)
 
-    def _wants_another(self, now: float) -> bool:
+    def _needs_connection(self, now: float) -> bool:
         return self._next_to_open(now) is not None
 
     def _next_to_open(self, now: float) -> str | None:
-        """For which tenant a connection is to be opened next; None where none is."""
+        """Return the tenant for which to open the next connection, or None if none is needed."""
         if self._eager:
             wanted = self.size < self.usable and self._has_room(now)
             return NO_TENANT if wanted else None
@@ -304,8 +323,12 @@
             return None
         if not self._has_room(now):
             return None
-        idle = self.tenants.among(self.idle)
-        lacking = (tenant for tenant in self.tenants.lacking(self.opening) if tenant not in idle)
+        idle = self.tenants.tenants_of(self.idle)
+        lacking = (
+            tenant
+            for tenant in self.tenants.tenants_lacking_connections(self.opening)
+            if tenant not in idle
+        )
         tenant = next(lacking, None)
         if tenant == NO_TENANT:
             return tenant if len(self.opening) < MOST_OPENING else None
@@ -313,48 +336,55 @@
 
     @property
     def _grow_seconds(self) -> float:
-        return _GROW_AGAIN_SECONDS if self._eager else _TRY_LIMIT_SECONDS
+        return _EAGER_GROW_SECONDS if self._eager else _ON_DEMAND_GROW_SECONDS
 
     def _has_room(self, now: float, opening: int = 0) -> bool:
-        """Whether one more may run; a request whose answer may be lost holds up no others.
+        """Return whether the window has room for one more request.
 
-        `opening`: so many connections take room, too, as each holds a slot like a request.
+        Requests with overdue answers, which may be lost, do not block others. `opening` is the
+        number of connections being opened that count as well, as each holds a slot of the instance
+        like a request.
         """
-        under_way = len(self.running) + opening
-        if self.window is None or under_way < self.window.size:
+        in_progress = len(self.running) + opening
+        if self.window is None or in_progress < self.window.size:
             return True
-        return under_way - self.answer_times.overdue(now) < self.window.size
+        return in_progress - self.answer_times.overdue(now) < self.window.size
 
-    def _settle(self, now: float) -> list[PoolEffect]:
-        self._most_needed = max(self._most_needed, len(self.busy) + len(self.queue))
+    def _rebalance(self, now: float) -> list[PoolEffect]:
+        self._peak_demand = max(self._peak_demand, len(self.busy) + len(self.queue))
         effects: list[PoolEffect] = []
         while self.idle and self.size > self.usable:
             effects.append(self._close(self.idle.pop()))
         effects.extend(self._grant(now))
         if now >= self._reopen_at:
-            effects.extend(self._open_wanted(now))
+            effects.extend(self._open_needed(now))
         return effects
 
     def _grant(self, now: float) -> Iterator[Grant]:
-        """Give idle connections to requests of their tenants, in the order of the queue."""
+        """Grant idle connections to waiting requests of the same tenant, in queue order."""
         while self.idle and len(self.queue) and self._has_room(now):
-            ticket = self.queue.next(now, self._has_idle)
+            ticket = self.queue.next(now, self._has_idle_connection)
             if ticket is None:
                 return
-            connection = self.tenants.last_of(self.tenants.of_request(ticket), self.idle)
+            connection = self.tenants.last_connection_of(
+                self.tenants.tenant_of_request(ticket), self.idle
+            )
             assert connection is not None
-            self.tenants.ended(ticket)
+            self.tenants.request_ended(ticket)
             self.idle.remove(connection)
             self.busy[connection] = now
             self.running.add(connection)
             yield Grant(ticket, connection)
 
-    def _has_idle(self, ticket: int) -> bool:
-        """Whether a connection of a request's tenant is idle."""
-        return self.tenants.last_of(self.tenants.of_request(ticket), self.idle) is not None
+    def _has_idle_connection(self, ticket: int) -> bool:
+        """Return whether the tenant of a waiting request has an idle connection."""
+        return (
+            self.tenants.last_connection_of(self.tenants.tenant_of_request(ticket), self.idle)
+            is not None
+        )
 
-    def _open_wanted(self, now: float) -> Iterator[PoolEffect]:
-        """Open connections; the one that was idle for longest makes place where there is none."""
+    def _open_needed(self, now: float) -> Iterator[PoolEffect]:
+        """Open needed connections; if the pool is full, close the longest idle ones for them."""
         while (tenant := self._next_to_open(now)) is not None:
             if self.size >= self.usable:
                 yield self._close(self.idle.pop(0))
--- a/src/orchidwind/shared/core/positions.py
+++ b/src/orchidwind/shared/core/positions.py
@@ -1,7 +1,7 @@
-"""Positions in the log of a database group.
+"""Positions in the write-ahead log of a database group.
 
-A position is a pair of term (PostgreSQL's timeline) and log sequence number (LSN, in bytes).
-Positions are ordered by term first, since a higher term always wins.
+A position is a pair of a term (PostgreSQL's timeline) and a log sequence number (LSN, in bytes).
+Positions are ordered by term first, because a higher term supersedes all lower ones.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class Position(Struct, frozen=True, order=True):
-    """A point in the history of a group: `term`, then byte offset `lsn` within the log."""
+    """A log position of a group: the `term`, and the byte offset `lsn` within its log."""
 
     term: int
     lsn: int
@@ -23,7 +23,7 @@
 
     @classmethod
     def parse(cls, text: str) -> Position:
-        """Read the form `TERM:HIGH/LOW`; raises ValueError for any other text."""
+        """Parse `TERM:HIGH/LOW`; raises ValueError for any other text."""
         term, separator, lsn = text.partition(":")
         if not separator:
             raise ValueError(f"not a position: {text!r}")
@@ -37,7 +37,10 @@
 
 
 def parse_lsn(text: str) -> int:
-    """Read PostgreSQL's `pg_lsn` text form, two hexadecimal numbers parted by a slash."""
+    """Parse PostgreSQL's `pg_lsn` text form, two hexadecimal numbers separated by a slash.
+
+    Raises ValueError for any other text.
+    """
     high, separator, low = text.partition("/")
     if not separator or len(high) > 8 or len(low) > 8:
         raise ValueError(f"not a log sequence number: {text!r}")
@@ -45,5 +48,5 @@
 
 
 def format_lsn(lsn: int) -> str:
-    """Write PostgreSQL's `pg_lsn` text form."""
+    """Return PostgreSQL's `pg_lsn` text form."""
     return f"{lsn >> _LSN_LOW_BITS:X}/{lsn & _LSN_LOW_MASK:X}"
--- a/src/orchidwind/shared/core/rendezvous.py
+++ b/src/orchidwind/shared/core/rendezvous.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: every process orders the same names alike, and few places move at a change.
+"""Rendezvous hashing: all processes rank names alike, and a change of names moves few keys.
 
 Source: Thaler and Ravishankar, "Using name-based mappings to increase hit rates" (1998).
 """
@@ -11,15 +11,15 @@
 
 
 def weight(key: str, name: str) -> int:
-    """The hash of a name under a key, 64 bits."""
+    """Return the 64-bit hash of a name for a key."""
     return int(xxhash.xxh64_intdigest(f"{key}/{name}".encode()))
 
 
 def rank(key: str, names: Sequence[str]) -> list[str]:
-    """Names in falling order of their hash with the key."""
+    """Return the names in descending order of their hash for the key."""
     return sorted(names, key=lambda name: weight(key, name), reverse=True)
 
 
 def first(key: str, names: Sequence[str]) -> str | None:
-    """The name with the highest hash, None without names."""
+    """Return the name with the highest hash for the key, or None if there are no names."""
     return max(names, key=lambda name: weight(key, name), default=None)
--- a/src/orchidwind/shared/core/tenant_connections.py
+++ b/src/orchidwind/shared/core/tenant_connections.py
@@ -1,9 +1,9 @@
-"""Which tenant each server connection of a pool belongs to, and which tenants wait for one.
+"""Tracks the tenant of each server connection of a pool and of each waiting request.
 
-An instance learns the tenant when a connection begins, so a request runs only on a connection of
-its tenant. Requests and connections without a tenant are those of `NO_TENANT`. No I/O, no clock.
+An instance learns the tenant when a connection is opened, so a request runs only on a connection of
+its own tenant. Requests and connections without a tenant belong to `NO_TENANT`. No I/O, no clock.
 
-Owns: the tenants of connections and of waiting requests. Relies on: `pool`, which decides what is
+Owns: the tenants of connections and of waiting requests. `pool` decides which connections are
 opened and granted.
 """
 
@@ -12,64 +12,64 @@
 from collections import Counter
 from collections.abc import Collection, Sequence
 
-# Where callers need no API key, and for the proxy's own use.
+# The tenant of requests from callers that need no API key, and of the proxy's own connections.
 NO_TENANT = ""
 
 
 class TenantConnections:
-    """The tenants in one pool."""
+    """The tenants of the connections and waiting requests of one pool."""
 
     def __init__(self) -> None:
-        self._of_connection: dict[int, str] = {}
-        self._of_request: dict[int, str] = {}
+        self._connection_tenants: dict[int, str] = {}
+        self._request_tenants: dict[int, str] = {}
 
-    def opening(self, connection: int, tenant: str) -> None:
-        """A connection is being opened for a tenant."""
-        self._of_connection[connection] = tenant
+    def connection_opening(self, connection: int, tenant: str) -> None:
+        """Record that a connection is being opened for a tenant."""
+        self._connection_tenants[connection] = tenant
 
-    def closed(self, connection: int) -> None:
-        """A connection is gone."""
-        self._of_connection.pop(connection, None)
+    def connection_closed(self, connection: int) -> None:
+        """Forget a closed connection."""
+        self._connection_tenants.pop(connection, None)
 
-    def of_connection(self, connection: int) -> str:
-        """The tenant that a connection belongs to."""
-        return self._of_connection.get(connection, NO_TENANT)
+    def tenant_of_connection(self, connection: int) -> str:
+        """Return the tenant that a connection belongs to."""
+        return self._connection_tenants.get(connection, NO_TENANT)
 
-    def among(self, connections: Collection[int]) -> set[str]:
-        """The tenants of some connections."""
-        return {self.of_connection(connection) for connection in connections}
+    def tenants_of(self, connections: Collection[int]) -> set[str]:
+        """Return the tenants of the given connections."""
+        return {self.tenant_of_connection(connection) for connection in connections}
 
-    def last_of(self, tenant: str, connections: Sequence[int]) -> int | None:
-        """The last of some connections that belongs to a tenant."""
+    def last_connection_of(self, tenant: str, connections: Sequence[int]) -> int | None:
+        """Return the last of the given connections that belongs to the tenant, or None."""
         for connection in reversed(connections):
-            if self.of_connection(connection) == tenant:
+            if self.tenant_of_connection(connection) == tenant:
                 return connection
         return None
 
-    def waits(self, ticket: int, tenant: str) -> None:
-        """A request of a tenant waits."""
-        self._of_request[ticket] = tenant
+    def request_queued(self, ticket: int, tenant: str) -> None:
+        """Record that a request of a tenant waits for a connection."""
+        self._request_tenants[ticket] = tenant
 
-    def of_request(self, ticket: int) -> str:
-        """The tenant of a request that waits."""
-        return self._of_request.get(ticket, NO_TENANT)
+    def tenant_of_request(self, ticket: int) -> str:
+        """Return the tenant of a waiting request."""
+        return self._request_tenants.get(ticket, NO_TENANT)
 
-    def ended(self, ticket: int) -> None:
-        """A request waits no longer."""
-        self._of_request.pop(ticket, None)
+    def request_ended(self, ticket: int) -> None:
+        """Forget a request that no longer waits."""
+        self._request_tenants.pop(ticket, None)
 
-    def lacking(self, opening: Collection[int]) -> list[str]:
-        """The tenant of each waiting request for which no connection is being opened.
+    def tenants_lacking_connections(self, opening: Collection[int]) -> list[str]:
+        """Return the tenants of the waiting requests for which no connection is being opened.
 
-        In the order of the requests' arrival.
+        One entry per request, in order of arrival. `opening` are the connections being opened.
         """
-        if not self._of_request:
+        if not self._request_tenants:
             return []
-        under_way = Counter(self.of_connection(connection) for connection in opening)
+        being_opened = Counter(self.tenant_of_connection(connection) for connection in opening)
         lacking = []
-        for tenant in self._of_request.values():
-            if under_way[tenant]:
-                under_way[tenant] -= 1
+        for tenant in self._request_tenants.values():
+            if being_opened[tenant]:
+                being_opened[tenant] -= 1
             else:
                 lacking.append(tenant)
         return lacking
--- a/src/orchidwind/shared/core/tenants.py
+++ b/src/orchidwind/shared/core/tenants.py
@@ -1,14 +1,15 @@
-"""Who an API key belongs to, and whether a request with it may be accepted. No I/O, no clock.
+"""Maps API keys to tenants and decides whether a request with a key is accepted. No I/O, no clock.
 
-The rule. A caller names an API key, which one tenant of the configuration in force holds; a key
-that no tenant holds is refused. Each request is judged anew, as an operator may take a key away at
-any time. Such a key must be of no use a stated time after that was acknowledged, at every proxy,
-also at one that hears of nothing: so a configuration judges keys only for so long after it was last
-known to be the newest. After that, requests are refused as not run.
+A caller sends an API key, which belongs to one tenant of the configuration in force; an unknown key
+is refused. The key is checked for each request, since an operator may revoke it at any time. A
+revoked key must stop working at every proxy within a stated time after the revocation was
+acknowledged, including proxies that receive no updates. Therefore a configuration may be used to
+check keys only for a limited time after it was last known to be the newest. After that, requests
+are refused as not run.
 
-Keys are secrets: only their digests are kept, and go from proxy to proxy.
+Keys are secrets: only their digests are stored and sent between proxies.
 
-Owns: nothing. Relies on: its user for the age of the configuration.
+Its user passes in the age of the configuration.
 """
 
 from __future__ import annotations
@@ -20,25 +21,26 @@
 
 from orchidwind.shared.core.errors import ErrorKind, RequestError
 
-# A tenant with so great a part of all quotas is a large one: it asks often enough to keep
-# connections of its own in use in each zone.
-_LARGE_PART = 1 / 40
-# Of a digest. Two keys have the same one with a chance that need not be thought of.
+# A tenant whose rate is at least this part of the rates of all tenants is large: it sends enough
+# requests to keep connections of its own in use in each zone.
+_LARGE_TENANT_SHARE = 1 / 40
+# Length of a key digest. A collision of two keys is too improbable to matter.
 _DIGEST_BYTES = 16
-# A configuration judges keys for so much less than the time that is allowed, seconds. Clocks of two
-# machines run so little apart in that time that a hundredth of it would do.
-_JUDGING_MARGIN_SECONDS = 0.1
+# Safety margin, in seconds, subtracted from the time that a revoked key is allowed to work. The
+# clocks of two machines drift so little in that time that a hundredth of it would do.
+_REVOCATION_MARGIN_SECONDS = 0.1
 
 
 def key_digest(api_key: str) -> bytes:
-    """What is kept of an API key."""
+    """Return the digest under which an API key is stored."""
     return blake2b(api_key.encode(), digest_size=_DIGEST_BYTES).digest()
 
 
 class Tenant(Struct, frozen=True):
-    """One tenant: the digests of its API keys, and how much it may ask of the whole fleet.
+    """A tenant: the digests of its API keys and its quota for the whole fleet.
 
-    `rate`: operations a second, over a long time; `burst`: so many may come at once.
+    `rate` is the sustained number of operations per second, `burst` the number of operations that
+    may arrive at once.
     """
 
     name: str
@@ -48,34 +50,36 @@
 
 
 class TenantTable:
-    """The tenants of one configuration, by the digests of their keys."""
+    """The tenants of one configuration, indexed by name and by key digest."""
 
     def __init__(self, tenants: Iterable[Tenant]) -> None:
         self.tenants = {tenant.name: tenant for tenant in tenants}
-        least = sum(tenant.rate for tenant in self.tenants.values()) * _LARGE_PART
-        # The tenants with great parts of all quotas.
-        self.large = frozenset(item.name for item in self.tenants.values() if item.rate >= least)
+        threshold = sum(tenant.rate for tenant in self.tenants.values()) * _LARGE_TENANT_SHARE
+        # Names of the tenants with a large part of all quotas.
+        self.large = frozenset(
+            item.name for item in self.tenants.values() if item.rate >= threshold
+        )
         self._holders = {
             digest: tenant for tenant in self.tenants.values() for digest in tenant.key_digests
         }
 
     def holder(self, digest: bytes) -> Tenant | None:
-        """The tenant that holds a key; None where nobody does."""
+        """Return the tenant that holds a key, or None if no tenant does."""
         return self._holders.get(digest)
 
 
 def tenant_faults(tenants: Iterable[Tenant]) -> Iterator[str]:
-    """What is wrong with the tenants of a configuration, a line each."""
+    """Yield one line for each error in the tenants of a configuration."""
     names: set[str] = set()
     holders: dict[bytes, str] = {}
     for tenant in tenants:
         if tenant.name in names:
-            yield f"tenant {tenant.name}: the name stands there twice"
+            yield f"tenant {tenant.name}: duplicate name"
         names.add(tenant.name)
         if tenant.rate <= 0:
             yield f"tenant {tenant.name}: the rate is not above 0"
         if tenant.burst < 1:
-            yield f"tenant {tenant.name}: the burst is below 1, so that nothing passes"
+            yield f"tenant {tenant.name}: the burst is below 1, so no operation could pass"
         for digest in tenant.key_digests:
             other = holders.setdefault(digest, tenant.name)
             if other != tenant.name:
@@ -83,28 +87,31 @@
 
 
 class KeyJudge(Struct, frozen=True):
-    """Judges API keys by a configuration.
+    """Checks API keys against a configuration.
 
-    `valid_for`: for how many seconds after it was known to be the newest a configuration may judge;
-    None where no bound is promised.
+    `valid_for` is how many seconds a configuration may be used after it was last known to be the
+    newest; None means without limit.
     """
 
     valid_for: float | None = None
 
     @classmethod
     def within(cls, revocation_seconds: float | None) -> KeyJudge:
-        """A key that was taken away is of no use after so many seconds; None: no bound."""
+        """Create a checker with which a revoked key stops working within this time; None: never."""
         if revocation_seconds is None:
             return cls()
-        return cls(max(revocation_seconds - _JUDGING_MARGIN_SECONDS, 0.0))
+        return cls(max(revocation_seconds - _REVOCATION_MARGIN_SECONDS, 0.0))
 
-    def may_judge(self, configuration_age: float) -> bool:
-        """Whether a configuration that was the newest so many seconds ago judges keys."""
+    def may_check_keys(self, configuration_age: float) -> bool:
+        """Return whether a configuration that was the newest this many seconds ago may be used."""
         return self.valid_for is None or configuration_age <= self.valid_for
 
     def tenant_of(self, table: TenantTable, digest: bytes, configuration_age: float) -> Tenant:
-        """The tenant that a request with a key belongs to; raises RequestError."""
-        if not self.may_judge(configuration_age):
+        """Return the tenant that holds a key.
+
+        Raises RequestError if the configuration is too old or no tenant holds the key.
+        """
+        if not self.may_check_keys(configuration_age):
             raise RequestError(
                 ErrorKind.CONFIGURATION_TOO_OLD,
                 f"the configuration was last known to be in force {configuration_age:.1f} s ago",
--- a/src/orchidwind/shared/logs.py
+++ b/src/orchidwind/shared/logs.py
@@ -1,8 +1,8 @@
 """Structured logs: one line of key=value pairs for each event, on standard output.
 
-For: every module of both halves (`log_event`) and each program's start (`configure_logging`). Owns
-the lines that wait to be written. Writing never waits for a reader: what does not fit into the pipe
-is kept up to a bound, then dropped and counted. `orchidwind explain` reads what is written here.
+All modules log with `log_event`; each program calls `configure_logging` when it starts. Writing
+never blocks on a slow reader: lines that do not fit into the pipe are buffered up to a limit, and
+further lines are dropped and counted. `orchidwind explain` parses these lines.
 """
 
 from __future__ import annotations
@@ -15,44 +15,44 @@
 
 from pythonjsonlogger.core import BaseJsonFormatter
 
-_QUOTED_SIGNS = set(' "=\n\r\t')
-# Lines that wait for their reader at most. Some seconds of a busy proxy, below 1 MB.
-_MOST_WAITING_LINES = 2000
+_QUOTED_CHARACTERS = set(' "=\n\r\t')
+# Maximum number of buffered lines: some seconds of a busy proxy's output, less than 1 MB.
+_MAX_BUFFERED_LINES = 2000
 
 
 class KeyValueFormatter(BaseJsonFormatter):
-    """python-json-logger's field handling, with key=value pairs as the serialization."""
+    """Formats log records as key=value pairs, with the field handling of python-json-logger."""
 
     def jsonify_log_record(self, log_data: dict[str, Any]) -> str:
-        """Write one line."""
+        """Return the fields as one line of key=value pairs."""
         return " ".join(f"{key}={_quote(value)}" for key, value in log_data.items())
 
 
 def _quote(value: object) -> str:
     text = str(value)
-    if text and not _QUOTED_SIGNS.intersection(text):
+    if text and not _QUOTED_CHARACTERS.intersection(text):
         return text
     escaped = text.replace("\\", "\\\\").replace('"', '\\"')
     return '"' + escaped.replace("\n", "\\n").replace("\r", "\\r").replace("\t", "\\t") + '"'
 
 
 class NonBlockingHandler(logging.Handler):
-    """Writes lines to a file descriptor without ever waiting for its reader."""
+    """Writes lines to a file descriptor without ever blocking on its reader."""
 
-    def __init__(self, descriptor: int, kept_lines: int = _MOST_WAITING_LINES) -> None:
+    def __init__(self, descriptor: int, max_buffered_lines: int = _MAX_BUFFERED_LINES) -> None:
         super().__init__()
         os.set_blocking(descriptor, False)
         self._descriptor = descriptor
         self._lines: deque[bytes] = deque()
-        self._kept_lines = kept_lines
+        self._max_buffered_lines = max_buffered_lines
         self.dropped = 0
-        self._dropped_since_line = 0
+        self._unreported_drops = 0
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Write a line, after those that still wait."""
-        if len(self._lines) >= self._kept_lines:
+        """Write a record after the buffered lines, or drop it if the buffer is full."""
+        if len(self._lines) >= self._max_buffered_lines:
             self.dropped += 1
-            self._dropped_since_line += 1
+            self._unreported_drops += 1
         else:
             self._lines.append(self.format(record).encode() + b"\n")
         self._write_lines()
@@ -63,23 +63,23 @@
             try:
                 written = os.write(self._descriptor, line)
             except BlockingIOError:
-                # The pipe is full: the rest is written with the next line.
+                # The pipe is full: the rest is written with the next record.
                 return
             except OSError:
-                # Nobody reads any more, so there is nowhere to tell of it.
+                # The reader has closed the pipe, so the error cannot be reported anywhere.
                 self._lines.clear()
                 return
             if written < len(line):
                 self._lines[0] = line[written:]
                 return
             self._lines.popleft()
-        if self._dropped_since_line:
-            count, self._dropped_since_line = self._dropped_since_line, 0
+        if self._unreported_drops:
+            count, self._unreported_drops = self._unreported_drops, 0
             self._lines.append(f"level=WARNING event=log_lines_dropped count={count}\n".encode())
 
 
 def configure_logging(level: str, proxy: str, descriptor: int | None = None) -> None:
-    """Send all events to standard output, or to a descriptor, as lines of a named proxy."""
+    """Send all events to standard output, or to `descriptor`, marked with the proxy's name."""
     handler = NonBlockingHandler(sys.stdout.fileno() if descriptor is None else descriptor)
     formatter = KeyValueFormatter(
         ["levelname", "message"],
@@ -94,10 +94,13 @@
 
 
 def log_event(name: str, *, level: int = logging.INFO, **fields: object) -> None:
-    """Log an event with its fields."""
+    """Log an event with its fields as key=value pairs."""
     logging.getLogger("orchidwind").log(level, name, extra=fields)
 
 
 def is_power_of_two(count: int) -> bool:
-    """Which of many like events are logged: the 1st, 2nd, 4th, ... so that none fills the log."""
+    """Return whether to log the count-th of many similar events: the 1st, 2nd, 4th and so on.
+
+    This keeps repeated events from flooding the log.
+    """
     return count & (count - 1) == 0
--- a/src/orchidwind/shared/settings.py
+++ b/src/orchidwind/shared/settings.py
@@ -1,6 +1,6 @@
-"""The settings file of one proxy of elected groups (TOML); flags of the command line override it.
+"""Settings of a proxy of elected groups, from a TOML file and overriding command line flags.
 
-For: `orchidwind proxy`; `parse_address` also for the settings of the other half. Owns the keys,
+Used by `orchidwind proxy`; proxies of promoted groups use `parse_address` as well. Owns the keys,
 their defaults and checks. Unknown keys are refused.
 """
 
@@ -18,12 +18,13 @@
 
 
 class ProxySettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Where a proxy sits and listens.
+    """Name, location, listening addresses and limits of a proxy.
 
-    `seeds` are gossip addresses of other proxies, as "HOST:PORT". The callers' port listens on
-    `caller_host`, all others on `host`, the address that other proxies use. A planned stop serves
-    the callers that are there for `linger_seconds` more, then closes those that are between
-    transactions, and ends after `drain_seconds` in all.
+    `seeds` are gossip addresses of other proxies, as "HOST:PORT". The port for callers listens on
+    `caller_host`, all other ports on `host`, the address that other proxies use. During a planned
+    stop, connected callers are served for another `linger_seconds`; then callers that are not in a
+    transaction are disconnected. The process ends at the latest `drain_seconds` after the stop
+    began.
     """
 
     name: str
@@ -43,7 +44,7 @@
 
 
 class ProxyOverrides(msgspec.Struct, frozen=True):
-    """Values of command line flags; None leaves the file's value."""
+    """Values of command line flags; None keeps the value of the file."""
 
     name: str | None = None
     zone: str | None = None
@@ -56,7 +57,10 @@
 
 
 def load_proxy_settings(path: Path, overrides: ProxyOverrides | None = None) -> ProxySettings:
-    """Read, override and check; raises SettingsError with file, key and reason."""
+    """Load the settings file, apply the overrides and check the result.
+
+    Raises SettingsError with the file, the key and the reason.
+    """
     source = str(path)
     settings = decode_checked(
         source, lambda: msgspec.toml.decode(path.read_bytes(), type=ProxySettings)
@@ -76,7 +80,7 @@
     for key in ("caller_port", "peer_port", "gossip_port", "operator_port"):
         port = getattr(settings, key)
         if not 1 <= port <= _HIGHEST_PORT:
-            raise SettingsError(source, key, f"{port} is not a port")
+            raise SettingsError(source, key, f"{port} is not a port number (1 to {_HIGHEST_PORT})")
     for key in ("name", "zone"):
         if not getattr(settings, key):
             raise SettingsError(source, key, "must not be empty")
@@ -92,7 +96,7 @@
 
 
 def parse_address(text: str) -> tuple[str, int]:
-    """Read "HOST:PORT"; raises ValueError."""
+    """Parse "HOST:PORT"; raises ValueError."""
     host, separator, port = text.rpartition(":")
     digits = port.isascii() and port.isdecimal()
     if not separator or not digits or not 1 <= int(port) <= _HIGHEST_PORT:
--- a/src/orchidwind/shared/silence.py
+++ b/src/orchidwind/shared/silence.py
@@ -1,7 +1,7 @@
-"""Open connections that were found silent: one line and one count for each find.
+"""Reports of silent connections: open connections that accept bytes and deliver none.
 
-Owns: the kinds of connections as they are counted and the line in the log, which operators rely on.
-Relies on each owner of connections to find its silent ones.
+Owns: the kinds of connections under which reports are counted, and the log line, both of which
+operators rely on. The components that hold connections detect the silent ones.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class ConnectionKind(Enum):
-    """What a connection is for, as its finds are counted."""
+    """The purpose of a connection; silent connections are counted by kind."""
 
     PEER_LINK = "peer_link"
     INSTANCE_IDLE = "instance_idle"
@@ -27,11 +27,11 @@
 
 
 class SilentConnection(Struct, frozen=True):
-    """A connection that delivers nothing while another way to the same end works, or should.
+    """A connection that delivers nothing while another path to the same end works, or should.
 
-    `opened_for` and `silent_for` are in seconds, None where they are unknown; `owed` counts the
-    answers that were waited for on it, the proxy's own queries left out. `group` is empty where the
-    connection belongs to none.
+    `opened_for` and `silent_for` are in seconds, None if unknown. `owed` is the number of pending
+    answers on the connection, without those to the proxy's own queries. `group` is empty if the
+    connection belongs to no group.
     """
 
     kind: ConnectionKind
@@ -47,7 +47,7 @@
 
 
 def log_silent(found: SilentConnection) -> None:
-    """One line for a find."""
+    """Log a silent connection."""
     log_event(
         "connection_silent",
         connection=found.kind.value,
--- a/src/orchidwind/shared/sockets.py
+++ b/src/orchidwind/shared/sockets.py
@@ -1,34 +1,35 @@
-"""Sockets whose far end is noticed when it goes dark.
+"""TCP sockets that detect an unreachable peer.
 
-For: every TCP connection of both halves. A far end whose machine is gone says nothing; the kernel
-finds that out after about 3 s. A path that acknowledges bytes and delivers none is not found here
-(docs/SILENCE.md).
+Used for every TCP connection of all proxies. A peer whose machine is gone sends nothing, not even a
+reset; the kernel detects this after about 3 s. A path that acknowledges bytes and delivers none is
+not detected here (docs/SILENCE.md).
 """
 
 from __future__ import annotations
 
 import socket
 
-# At rest: probes after 1 s, each second, two of them unanswered. 3 s, the shortest rest
-# that a caller is allowed, and two probes so that one lost packet ends nothing.
+# On an idle connection, the first probe is sent after 1 s, then one per second; the connection ends
+# after two unanswered probes. The total of 3 s is the shortest idle time that callers are allowed.
+# Two probes are used so that the loss of one packet does not end the connection.
 KEEPALIVE_IDLE_SECONDS = 1
 KEEPALIVE_INTERVAL_SECONDS = 1
 KEEPALIVE_PROBES = 2
-# Sent bytes that stay unacknowledged for so long end the connection. As at rest.
+# Time after which unacknowledged data ends the connection; the same as for an idle connection.
 USER_TIMEOUT_MILLISECONDS = 3000
 
 
 def client_socket() -> socket.socket:
-    """A TCP socket for a connection that this process opens."""
+    """Create a TCP socket for an outgoing connection, with unreachable peers detected."""
     return watchful(socket.socket(socket.AF_INET, socket.SOCK_STREAM))
 
 
-def watchful(opened: socket.socket) -> socket.socket:
-    """Send small writes at once, and end the connection when the far end says nothing."""
-    opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    opened.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-    opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_SECONDS)
-    opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_SECONDS)
-    opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES)
-    opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MILLISECONDS)
-    return opened
+def watchful(tcp_socket: socket.socket) -> socket.socket:
+    """Disable Nagle's algorithm and end the connection when the peer is unreachable."""
+    tcp_socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+    tcp_socket.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
+    tcp_socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_SECONDS)
+    tcp_socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_SECONDS)
+    tcp_socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES)
+    tcp_socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MILLISECONDS)
+    return tcp_socket
