--- a/src/orchidwind/commands/explain.py
+++ b/src/orchidwind/commands/explain.py
@@ -22,7 +22,7 @@
 # The same for the silent connection of an idle transaction: the caller learns of it with its next
 # statement, which may be as late as a transaction may stay idle, 30 s by default.
 _IDLE_TRANSACTION_LOOK_BACK = timedelta(seconds=30)
-_IDLE_TRANSACTION = "instance_resting"
+_IDLE_TRANSACTION_KIND = "instance_resting"
 # How far from an acknowledged commit the events of a change of primary are shown. A change takes
 # about a second; its events are logged by the proxy that carries it out.
 _FAILOVER_WINDOW = timedelta(seconds=3)
@@ -113,7 +113,7 @@
 def _relevant_since(other: LogLine, request: LogLine) -> datetime:
     """Return the time from which on a line can explain the request."""
     milliseconds = int(request.fields.get("milliseconds", "0"))
-    idle_transaction = other.fields.get("connection") == _IDLE_TRANSACTION
+    idle_transaction = other.fields.get("connection") == _IDLE_TRANSACTION_KIND
     look_back = _IDLE_TRANSACTION_LOOK_BACK if idle_transaction else _LOOK_BACK
     return request.at - timedelta(milliseconds=milliseconds) - look_back
 
@@ -143,7 +143,7 @@
     if not own and failover:
         return failover
     if not own:
-        raise RequestNotFound(f"no line names the request {request_id}")
+        raise RequestNotFound(f"no log line contains the request id {request_id}")
     shown: list[str] = []
     for line in own:
         shown.extend(
--- a/src/orchidwind/shared/core/admission.py
+++ b/src/orchidwind/shared/core/admission.py
@@ -8,9 +8,9 @@
 still served in time. Requests without a target are served in order of arrival.
 
 A request that cannot start before its deadline is refused on arrival, with the time that the queue
-needs to drain as its retry delay. An overdue request is refused as soon as no slot is left for
-overdue requests. A request that expires in the queue is refused with the time that a single slot
-needs to serve all requests still waiting.
+needs to drain as its retry delay. An overdue request is refused once no slot is left for overdue
+requests. A request that expires in the queue is refused with the time that a single slot needs to
+serve all requests still waiting.
 
 Owns: the queues and the estimate of how long a request holds a connection. The user of a queue
 passes in the time, in seconds of a monotonic clock, and the number of slots.
@@ -37,8 +37,8 @@
 # refused, and new requests that would miss their target are refused on arrival.
 _NO_SLOT_SECONDS = 0.1
 # A request is admitted under overload only if it is expected to use at most this share of the time
-# left until its target. The rest is a reserve for requests that another proxy refused first and for
-# requests that take longer than expected.
+# left until its target. The rest is a reserve for requests that were refused elsewhere first, and
+# for those that take longer than expected.
 _TARGET_SHARE = 0.5
 # Upper bound on the retry delay of a request refused because of its target, as a share of the time
 # left until the target. Another proxy may have room, and a later retry could hardly be in time.
@@ -190,6 +190,7 @@
         return wait + self.service_seconds - time_left * _TARGET_SHARE
 
     def _schedule_next(self, queue: _ClassQueue) -> None:
+        """Set the virtual finish time of the next request of a class."""
         start = max(self._virtual_time, queue.virtual_finish)
         queue.virtual_finish = start + 1.0 / queue.traffic_class.weight
 
@@ -228,6 +229,7 @@
             queue.drop_stale()
 
     def _dequeue(self, queue: _ClassQueue, ticket: int) -> int:
+        """Remove a request that is granted a connection and advance the virtual time."""
         start = queue.virtual_finish - 1 / queue.traffic_class.weight
         self._virtual_time = max(self._virtual_time, start)
         self.remove(ticket)
@@ -243,26 +245,27 @@
             queue.overdue.pop(ticket, None)
 
     def expire(self, now: float) -> list[Refusal]:
-        """Remove and refuse the requests that have expired and the overdue ones without a slot."""
-        ended = [
+        """Remove and refuse expired requests, and overdue ones for which no slot is left."""
+        expired = [
             waiting.ticket
             for queue in self._classes.values()
             for waiting in queue.waiting.values()
             if self._refuse_at(waiting) <= now
         ]
-        for ticket in ended:
+        for ticket in expired:
             self.remove(ticket)
         retry_after = max(self.service_seconds * len(self), _SHORTEST_RETRY_SECONDS)
-        return [Refusal(ticket, retry_after, expired=True) for ticket in ended]
+        return [Refusal(ticket, retry_after, expired=True) for ticket in expired]
 
     def _refuse_at(self, waiting: _WaitingRequest) -> float:
+        """Return when a waiting request is to be refused unless it is granted a connection."""
         if waiting.overdue_at is None:
             return waiting.expires_at
         overdue_limit = max(waiting.overdue_at, self._slot_left_at) + _NO_SLOT_SECONDS
         return min(waiting.expires_at, overdue_limit)
 
     def deadline(self) -> float | None:
-        """Return when the next waiting request expires, or None if the queue is empty."""
+        """Return when `expire` next has a request to refuse, or None if the queue is empty."""
         times = [
             self._refuse_at(waiting)
             for queue in self._classes.values()
--- a/src/orchidwind/shared/core/answer_times.py
+++ b/src/orchidwind/shared/core/answer_times.py
@@ -69,6 +69,7 @@
             self._abandoned_at = now
 
     def _update_means(self, seconds: float, recent: float) -> None:
+        """Add a response time to the recent mean and adapt the usual response time."""
         self._answers += 1
         if self._answers <= _WARM_UP_ANSWERS:
             self._recent = recent + (seconds - recent) / self._answers
@@ -90,8 +91,8 @@
         # Decay starts when a request sent right after the last answer should have been answered.
         without_answer = max(now - self._answered_at - self._recent, 0.0)
         remaining = exp(-without_answer / _DECAY_SECONDS)
-        decayed = min(self._recent, _INITIAL_ESTIMATE_SECONDS)
-        return decayed + (self._recent - decayed) * remaining
+        baseline = min(self._recent, _INITIAL_ESTIMATE_SECONDS)
+        return baseline + (self._recent - baseline) * remaining
 
     def _decayed_abandoned_wait(self, now: float) -> float:
         """Return how long the last abandoned request waited, decayed by the time since."""
--- a/src/orchidwind/shared/core/concurrency_window.py
+++ b/src/orchidwind/shared/core/concurrency_window.py
@@ -80,6 +80,7 @@
         self._shrink(_DECREASE, now)
 
     def _shrink(self, factor: float, now: float) -> None:
+        """Shrink the window, at most once per `_DECREASE_PAUSE_SECONDS`."""
         if now - self._decreased_at < _DECREASE_PAUSE_SECONDS:
             return
         self._decreased_at = now
--- a/src/orchidwind/shared/core/pool.py
+++ b/src/orchidwind/shared/core/pool.py
@@ -351,6 +351,7 @@
         return in_progress - self.answer_times.overdue(now) < self.window.size
 
     def _rebalance(self, now: float) -> list[PoolEffect]:
+        """Close surplus connections, grant idle ones and open those that are needed."""
         self._peak_demand = max(self._peak_demand, len(self.busy) + len(self.queue))
         effects: list[PoolEffect] = []
         while self.idle and self.size > self.usable:
--- a/src/orchidwind/shared/core/quota.py
+++ b/src/orchidwind/shared/core/quota.py
@@ -109,7 +109,7 @@
         return max(operations - self.tokens - self._valid_borrowed(now), 0.0)
 
     def give_back(self) -> None:
-        """Return the token of an operation that did not run."""
+        """Put back the token of an operation that did not run."""
         self.tokens = min(self.tokens + 1.0, self.size)
 
     def lend(self, wanted: float) -> float:
@@ -183,10 +183,12 @@
             bucket.resize(*self._rate_and_size(self._tenants[name]))
 
     def _rate_and_size(self, tenant: Tenant) -> tuple[float, float]:
+        """Return the rate and the size of a tenant's bucket at the current share."""
         size = tenant.burst + self._rules.excess(tenant) * _BUCKET_SHARE
         return tenant.rate * self.share, size * self.share
 
     def _bucket(self, tenant: Tenant) -> TokenBucket:
+        """Return the bucket of a tenant, created or resized as needed and filled up to now."""
         bucket = self._buckets.get(tenant.name)
         if bucket is None:
             rate, size = self._rate_and_size(tenant)
@@ -207,7 +209,7 @@
         return self._bucket(tenant).take(now)
 
     def give_back(self, tenant: Tenant) -> None:
-        """Return the token of an operation that did not run."""
+        """Put back the token of an operation that did not run."""
         self._bucket(tenant).give_back()
 
     def missing(self, tenant: Tenant, operations: int, now: float) -> float:
--- a/src/orchidwind/shared/core/tenants.py
+++ b/src/orchidwind/shared/core/tenants.py
@@ -97,7 +97,10 @@
 
     @classmethod
     def within(cls, revocation_seconds: float | None) -> KeyJudge:
-        """Create a checker with which a revoked key stops working within this time; None: never."""
+        """Create a checker with which a revoked key stops working within this time.
+
+        None sets no limit.
+        """
         if revocation_seconds is None:
             return cls()
         return cls(max(revocation_seconds - _REVOCATION_MARGIN_SECONDS, 0.0))
--- a/src/orchidwind/shared/sockets.py
+++ b/src/orchidwind/shared/sockets.py
@@ -1,8 +1,8 @@
 """TCP sockets that detect an unreachable peer.
 
-Used for every TCP connection of all proxies. A peer whose machine is gone sends nothing, not even a
-reset; the kernel detects this after about 3 s. A path that acknowledges bytes and delivers none is
-not detected here (docs/SILENCE.md).
+Used for every TCP connection of all proxies. A peer whose machine is gone sends nothing; the
+kernel detects this after about 3 s. A path that acknowledges bytes and delivers none is not
+detected here (docs/SILENCE.md).
 """
 
 from __future__ import annotations
@@ -25,7 +25,11 @@
 
 
 def watchful(tcp_socket: socket.socket) -> socket.socket:
-    """Disable Nagle's algorithm and end the connection when the peer is unreachable."""
+    """Configure and return a socket.
+
+    Small writes are sent at once (no Nagle's algorithm), and the connection ends when the peer is
+    unreachable.
+    """
     tcp_socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     tcp_socket.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     tcp_socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_SECONDS)
