--- a/src/orchidwind/shared/avro_records.py
+++ b/src/orchidwind/shared/avro_records.py
@@ -81,7 +81,7 @@
             return None
         (length,) = LENGTH.unpack_from(self._buffer)
         if length > self._maximum:
-            raise DecodeError(f"frame of {length} bytes exceeds the maximum of {self._maximum}")
+            raise DecodeError(f"frame of {length} bytes")
         end = LENGTH.size + length
         if len(self._buffer) < end:
             return None
