--- a/src/orchidwind/promoted/core/circuit_breaker.py
+++ b/src/orchidwind/promoted/core/circuit_breaker.py
@@ -1,14 +1,14 @@
-"""Which requests are refused at once, as what they rely on is known to fail here. No I/O, no clock.
+"""Circuit breakers, which refuse requests whose dependencies are failing. No I/O, no clock.
 
-What for: a request that would only wait until its deadline is refused, and its caller goes
-elsewhere. A request relies on up to three things: an instance that serves it, a proof that the
-primary still leads, and a primary that confirms commits. Each has a circuit breaker, which opens
-when a failure was reported and no success for so many seconds since it began. While it is open one
-request is let through each PROBE_SECONDS, and the first success closes it. When the caller may
-come back is a matter of the refusal's kind (`shared/core/errors.py`).
+Without a breaker such a request would wait until its deadline; refused early, the caller can try
+another proxy. A request depends on up to three things: an instance that serves it, a proof that the
+primary still leads, and a primary that confirms commits. Each has a circuit breaker of its own,
+which opens when failures have lasted for a given time without a success. While it is open, one
+request every PROBE_SECONDS is let through as a probe, and the first success closes it. The kind of
+the refusal determines the retry time that the caller is told (`shared/core/errors.py`).
 
-Owns: the three breakers of one group, their times, and the kind and text of each refusal.
-Relies on: callers that report each success and failure, with times in seconds of one steady clock.
+Callers of this module report each success and failure, with times in seconds of one monotonic
+clock.
 """
 
 from __future__ import annotations
@@ -20,32 +20,33 @@
 from orchidwind.promoted.core.change_reasons import NOT_CONFIRMING_SECONDS
 from orchidwind.shared.core.errors import ErrorKind
 
-# Seconds between two requests that are let through while a breaker is open. Hardly a caller
-# waits in vain, and service is back a quarter of a second after its cause.
+# Seconds between two probes while a breaker is open. Few callers wait for a failure, and requests
+# are accepted again at most a quarter of a second after the fault is gone.
 PROBE_SECONDS = 0.25
 
-# For how long no instance is found until requests are refused, seconds. A change of primary
-# takes about a second (docs/DECISIONS.md); one that takes longer waits for what this proxy does not
+# Seconds without a usable instance until requests are refused. A change of primary takes about a
+# second (docs/DECISIONS.md); one that takes longer depends on something that this proxy cannot
 # reach.
 NOT_FOUND_SECONDS = 1.5
 
-# The same for proofs of the lead, seconds. Reading the lock takes some milliseconds and a
-# query of a replica as long as a statement, so a proof that takes longer is not to be had soon.
+# Seconds without a proof of leadership until requests that need one are refused. Reading the
+# promotion lock takes a few milliseconds and querying a replica as long as a statement, so a proof
+# that takes longer is unlikely to succeed soon.
 NOT_PROVEN_SECONDS = 0.4
 
 
 @unique
 class Dependency(Enum):
-    """What a request relies on; the values appear in log lines."""
+    """Something that a request depends on; the values appear in log lines."""
 
     INSTANCE = "instance found"
     LEAD_PROOF = "lead proven"
     COMMIT = "commit confirmed"
 
 
-# Seconds for which each may fail before requests that rely on it are refused. For commits it is the
-# time after which the primary is replaced (`change_reasons`).
-PATIENCE_SECONDS: dict[Dependency, float] = {
+# Seconds for which each dependency may fail before its breaker opens. For commits it is the time
+# after which the primary is replaced (`change_reasons`).
+OPEN_AFTER_SECONDS: dict[Dependency, float] = {
     Dependency.INSTANCE: NOT_FOUND_SECONDS,
     Dependency.LEAD_PROOF: NOT_PROVEN_SECONDS,
     Dependency.COMMIT: NOT_CONFIRMING_SECONDS,
@@ -53,30 +54,31 @@
 
 
 class CircuitBreaker:
-    """Closed until failures have lasted for `patience` seconds without a success."""
+    """A breaker that opens when failures have lasted for some time without a success."""
 
-    def __init__(self, patience: float) -> None:
-        self._patience = patience
+    def __init__(self, open_after: float) -> None:
+        """`open_after` is the duration of failures, in seconds, after which the breaker opens."""
+        self._open_after = open_after
         self._failing_since: float | None = None
         self._succeeded_at = float("-inf")
         self._probed_at = float("-inf")
 
     def failed(self, since: float) -> None:
-        """It was tried from a time on, and did not succeed."""
+        """Records a failed attempt that began at `since`."""
         if self._failing_since is None:
             self._failing_since = max(since, self._succeeded_at)
 
     def succeeded(self, now: float) -> None:
-        """It was tried, and succeeded."""
+        """Records a successful attempt."""
         self._failing_since = None
         self._succeeded_at = now
 
     def is_open(self, now: float) -> bool:
-        """Whether it is known to fail."""
-        return self._failing_since is not None and now - self._failing_since >= self._patience
+        """Whether failures have lasted long enough for the breaker to be open."""
+        return self._failing_since is not None and now - self._failing_since >= self._open_after
 
     def refuses(self, now: float) -> bool:
-        """Whether a request is to be refused; while open, one in a while is let through."""
+        """Whether to refuse a request; while open, lets one through every PROBE_SECONDS."""
         if not self.is_open(now):
             return False
         if now - self._probed_at < PROBE_SECONDS:
@@ -86,7 +88,7 @@
 
 
 class ImmediateRefusal(Struct, frozen=True):
-    """A request is refused before it waits. `reason` is for its caller and the log."""
+    """The refusal of a request before it waits; `reason` goes to the caller and to the log."""
 
     missing: Dependency
     kind: ErrorKind
@@ -98,52 +100,54 @@
 
     def __init__(self) -> None:
         self._breakers = {
-            dependency: CircuitBreaker(patience)
-            for dependency, patience in PATIENCE_SECONDS.items()
+            dependency: CircuitBreaker(open_after)
+            for dependency, open_after in OPEN_AFTER_SECONDS.items()
         }
 
     def failed(self, dependency: Dependency, since: float) -> None:
-        """It was tried from a time on, and did not succeed."""
+        """Records a failed use of a dependency that began at `since`."""
         self._breakers[dependency].failed(since)
 
     def succeeded(self, dependency: Dependency, now: float) -> None:
-        """It was tried, and succeeded."""
+        """Records a successful use of a dependency."""
         self._breakers[dependency].succeeded(now)
 
     def commit_waited(self, seconds: float, now: float) -> None:
-        """A write waits, or has waited, for its acknowledgement for so many seconds."""
-        if seconds > PATIENCE_SECONDS[Dependency.COMMIT]:
+        """Records for how many seconds a write has waited for its acknowledgement so far."""
+        if seconds > OPEN_AFTER_SECONDS[Dependency.COMMIT]:
             self.failed(Dependency.COMMIT, now - seconds)
 
     def refuse_without_instance(self, kind: ErrorKind, now: float) -> ImmediateRefusal | None:
-        """Whether to refuse a request for which no instance is known at this moment."""
-        return self._refuse(Dependency.INSTANCE, kind, "no instance has served for long", now)
+        """Returns the refusal of a request for which no instance is known now, if any."""
+        return self._refuse(
+            Dependency.INSTANCE, kind, "no usable instance has been found for some time", now
+        )
 
     def refuse_unproven_read(self, now: float) -> ImmediateRefusal | None:
-        """Whether to refuse a read that goes to the primary with a proof of its lead."""
-        return self._refuse_unproven("its lead", now)
+        """Returns the refusal of a read that needs a proof of leadership, if any."""
+        return self._refuse_unproven("leadership", now)
 
     def refuse_at_primary(
         self, lead_proof: bool, oldest_write: float | None, now: float
     ) -> ImmediateRefusal | None:
-        """Whether to refuse a request that goes to the primary.
+        """Returns the refusal of a request that goes to the primary, if any.
 
-        `oldest_write` is given where it relies on a commit: for how many seconds the oldest write
-        there has waited. Each breaker is asked once a request: a second question in the same moment
-        would refuse the probe that the first has let through.
+        `oldest_write` is None if the request needs no commit; otherwise it is how many seconds the
+        oldest write on the primary has waited. Each breaker is consulted only once per request: a
+        second call at the same time would refuse the probe that the first call let through.
         """
         refusal = None
         commits = oldest_write is not None
         if lead_proof or commits:
-            refusal = self._refuse_unproven("its lead" if lead_proof else "its commits", now)
+            refusal = self._refuse_unproven("leadership" if lead_proof else "commits", now)
         if refusal is not None or oldest_write is None:
             return refusal
         self.commit_waited(oldest_write, now)
         kind = ErrorKind.NO_PRIMARY
-        return self._refuse(Dependency.COMMIT, kind, "it confirms no commits", now)
+        return self._refuse(Dependency.COMMIT, kind, "the primary confirms no commits", now)
 
-    def _refuse_unproven(self, what: str, now: float) -> ImmediateRefusal | None:
-        reason = f"{what} cannot be proven here"
+    def _refuse_unproven(self, subject: str, now: float) -> ImmediateRefusal | None:
+        reason = f"the primary's {subject} cannot be proven by this proxy"
         return self._refuse(Dependency.LEAD_PROOF, ErrorKind.NO_PRIMARY, reason, now)
 
     def _refuse(
--- a/src/orchidwind/promoted/core/flow_parts.py
+++ b/src/orchidwind/promoted/core/flow_parts.py
@@ -1,9 +1,9 @@
-"""What the flows on a promoted group have in common: context, exchanges, finding an instance.
+"""Steps that the flows of single commands and of transactions have in common. No I/O.
 
-What for: `flows` and `transaction_flows` read in the order of their steps; this is what both do.
-Which answer leads to another attempt, after which pause, is decided by `attempts`.
-Owns: what one command has done so far (`CommandContext`). Relies on: a driver that carries out each
-step, and throws RequestError or BackendConnectionLost in where it fails.
+`flows` and `transaction_flows` hold the order of steps; this module holds the context of a command,
+the exchange of messages with an instance, and the search for an instance and a connection.
+`attempts` decides which answers lead to another attempt, and after which pause. A driver carries
+out each step, and throws RequestError or BackendConnectionLost into the flow if the step fails.
 """
 
 from __future__ import annotations
@@ -17,9 +17,9 @@
 from orchidwind.promoted.core.attempts import (
     RETRY_PAUSE_SECONDS,
     NextAttempt,
-    after_read,
-    after_write,
     busy_pause,
+    next_attempt_after_read,
+    next_attempt_after_write,
 )
 from orchidwind.promoted.core.commands import (
     Command,
@@ -54,13 +54,15 @@
 
 
 class CommandContext(Struct):
-    """What the flows of one command share.
-
-    `arrived_at`: in seconds of the steady clock. `excluded`: replicas that have failed it.
-    `sent_write`: an exchange that is under way may change data. `attempts`: what each attempt was
-    based on and how it ended, for the log. `sent_to`: the instance of the last attempt.
-    `busy_replies`: how many attempts were answered BUSY. `tenant`: its caller's, whose connections
-    it runs on.
+    """The state of one command across its attempts.
+
+    - `arrived_at`: when the command arrived, in seconds of the monotonic clock.
+    - `excluded`: replicas that have failed this command.
+    - `sent_write`: whether an exchange in progress may change data.
+    - `attempts`: for the log, the basis and the outcome of each attempt.
+    - `sent_to`: the instance of the last attempt.
+    - `busy_replies`: the number of attempts that were answered BUSY.
+    - `tenant`: the caller's tenant, whose server connections the command uses.
     """
 
     session: Session
@@ -75,13 +77,13 @@
     busy_replies: int = 0
     tenant: str = NO_TENANT
 
-    def note(self, instance: str, what: str) -> None:
-        """Keep what one attempt was based on and how it ended, for the log."""
-        self.attempts.append(f"{instance}:{what}")
+    def note(self, instance: str, outcome: str) -> None:
+        """Records the basis and the outcome of one attempt for the log."""
+        self.attempts.append(f"{instance}:{outcome}")
 
 
 def pause_after_busy(context: CommandContext, instance: str) -> Pause:
-    """An instance refused work: the pause before this command asks again."""
+    """Marks an instance as busy and returns the pause before the command is sent again."""
     context.group.instance_busy(instance)
     pause = Pause(busy_pause(context.busy_replies))
     context.busy_replies += 1
@@ -89,7 +91,10 @@
 
 
 def statement_messages(context: CommandContext, connection: int) -> list[InstanceMessage]:
-    """Bring a connection to the session's settings, then the statement itself."""
+    """Returns the messages that run the statement of a command on a connection.
+
+    Messages that set missing settings and prepare missing statements come first.
+    """
     messages = context.group.settings_messages(connection, context.session.settings)
     command = context.command
     if command.kind is CommandKind.EXECUTE:
@@ -111,7 +116,7 @@
 
 
 def with_floor(messages: list[InstanceMessage], plan: ReadPlan) -> tuple[InstanceMessage, ...]:
-    """The same messages, the last of them at the floor of a plan."""
+    """Returns the messages with the floor of a plan set on the last one."""
     return (*messages[:-1], replace(messages[-1], floor=plan.floor))
 
 
@@ -121,17 +126,25 @@
     messages: tuple[InstanceMessage, ...],
     proof_of_term: int = 0,
 ) -> Generator[Step, StepResult, Reply]:
-    """Send and return the last reply; a connection whose preparation failed is closed."""
+    """Sends messages and returns the reply to the last one.
+
+    Raises BackendConnectionLost if an earlier message failed, since the connection is then in an
+    unknown state and must be closed, and ProofMissing if a proof of leadership was asked for and
+    not obtained.
+    """
     result = yield Exchange(connection, messages, proof_of_term)
     assert isinstance(result, ExchangeResult)
     replies = result.replies
-    # What the connection carries now counts whatever becomes of the reply.
+    # The settings and prepared statements on the connection have changed even if the reply is
+    # discarded below.
     context.group.note_messages(connection, messages)
     if not all(reply.done for reply in replies[:-1]):
-        raise BackendConnectionLost("a setting or prepared statement was refused", sent=True)
+        raise BackendConnectionLost(
+            "the instance refused a setting or a prepared statement", sent=True
+        )
     if proof_of_term:
         if result.led_at is None:
-            raise ProofMissing("no replica shows that the primary still leads")
+            raise ProofMissing("no replica confirms that the primary still leads")
         context.group.lead_proven(result.led_at, replies[-1].position)
     return replies[-1]
 
@@ -139,14 +152,14 @@
 def read_connection(
     context: CommandContext,
 ) -> Generator[Step, StepResult, tuple[ReadPlan, int]]:
-    """An instance that may serve a read, and a connection to it."""
+    """Waits for an instance that may serve a read; returns the plan and a connection to it."""
     while True:
         plan = yield WaitForReadPlan(context.session.floor, frozenset(context.excluded))
         assert isinstance(plan, ReadPlan)
         try:
             connection = yield WaitForConnection(plan.instance)
         except BackendConnectionLost:
-            yield from leave_instance(context, plan)
+            yield from avoid_after_lost_connection(context, plan)
             continue
         assert isinstance(connection, int)
         return plan, connection
@@ -159,16 +172,17 @@
     plan: ReadPlan,
     idle_without_proof: bool,
 ) -> Generator[Step, StepResult, Reply | None]:
-    """Send as planned; None where another attempt is due, and the connection was given back.
+    """Sends messages to the instance of a plan and returns the last reply.
 
-    `idle_without_proof` tells whether the connection is free for others if only the proof of the
-    lead is missing.
+    Returns None if another attempt is needed; the connection has then been released.
+    `idle_without_proof` tells whether the connection is reusable if the instance answered and only
+    the proof of leadership is missing.
     """
     try:
         return (yield from exchange(context, connection, messages, plan.proof_of_term))
     except BackendConnectionLost:
         yield Release(connection, reusable=False)
-        yield from leave_instance(context, plan)
+        yield from avoid_after_lost_connection(context, plan)
     except ProofMissing:
         yield Release(connection, reusable=idle_without_proof)
         yield from wait_for_proof(context)
@@ -176,7 +190,10 @@
 
 
 def wait_for_proof(context: CommandContext) -> Generator[Step, StepResult, None]:
-    """Send nothing to a primary of doubtful lead until some replica confirms its term."""
+    """Waits until a replica confirms the primary's term.
+
+    Nothing is sent to a primary whose leadership is in doubt.
+    """
     while True:
         yield Pause(RETRY_PAUSE_SECONDS)
         primary = yield WaitForPrimary(lead_proof=True)
@@ -186,8 +203,10 @@
             return
 
 
-def leave_instance(context: CommandContext, plan: ReadPlan) -> Generator[Step, StepResult, None]:
-    """A connection broke: try another replica next; the primary has no substitute."""
+def avoid_after_lost_connection(
+    context: CommandContext, plan: ReadPlan
+) -> Generator[Step, StepResult, None]:
+    """After a lost connection, excludes a replica; pauses if the read needs the primary."""
     context.note(plan.instance, "connection_lost")
     if plan.proof_of_term:
         yield Pause(RETRY_PAUSE_SECONDS)
@@ -195,23 +214,23 @@
         context.excluded.add(plan.instance)
 
 
-def after_failed_read(
+def prepare_read_retry(
     context: CommandContext, plan: ReadPlan, reply: Reply
 ) -> Generator[Step, StepResult, None]:
-    """Prepare another attempt, or raise what the caller is answered."""
+    """Prepares another attempt of a failed read; raises RequestError if there is none."""
     if reply.code is ReplyCode.BEHIND and plan.floor is not None:
         context.group.replica_behind(plan.instance, plan.floor)
-    following = after_read(reply.code)
-    if following is NextAttempt.OTHER_INSTANCE:
+    next_attempt = next_attempt_after_read(reply.code)
+    if next_attempt is NextAttempt.OTHER_INSTANCE:
         context.excluded.add(plan.instance)
         return
-    yield from _pause_before(following, context, plan.instance, reply)
+    yield from _pause_before(next_attempt, context, plan.instance, reply)
 
 
 def primary_connection(
     lead_proof: bool,
 ) -> Generator[Step, StepResult, tuple[PrimaryView, int]]:
-    """A primary that confirms commits, and a connection to it."""
+    """Waits for a primary that confirms commits; returns it and a connection to it."""
     while True:
         primary = yield WaitForPrimary(lead_proof=lead_proof, commit=True)
         assert isinstance(primary, PrimaryView)
@@ -223,24 +242,24 @@
         return primary, connection
 
 
-def after_refused_write(
+def prepare_write_retry(
     context: CommandContext, instance: str, reply: Reply
 ) -> Generator[Step, StepResult, None]:
-    """Prepare another attempt of a write that did not run, or raise what the caller is answered."""
-    following = after_write(reply.code)
-    if following is NextAttempt.NEW_PRIMARY:
+    """Prepares another attempt of a write that did not run; raises RequestError if none is due."""
+    next_attempt = next_attempt_after_write(reply.code)
+    if next_attempt is NextAttempt.NEW_PRIMARY:
         context.group.refused_write(instance)
         return
-    yield from _pause_before(following, context, instance, reply)
+    yield from _pause_before(next_attempt, context, instance, reply)
 
 
 def _pause_before(
-    following: NextAttempt, context: CommandContext, instance: str, reply: Reply
+    next_attempt: NextAttempt, context: CommandContext, instance: str, reply: Reply
 ) -> Generator[Step, StepResult, None]:
-    """The pause before the next attempt; raises RequestError where there is none."""
-    if following is NextAttempt.AFTER_BUSY_PAUSE:
+    """Pauses before the next attempt; raises RequestError if the reply allows none."""
+    if next_attempt is NextAttempt.AFTER_BUSY_PAUSE:
         yield pause_after_busy(context, instance)
-    elif following is NextAttempt.AFTER_PAUSE:
+    elif next_attempt is NextAttempt.AFTER_PAUSE:
         yield Pause(RETRY_PAUSE_SECONDS)
     else:
         raise reported(reply)
--- a/src/orchidwind/promoted/core/flows.py
+++ b/src/orchidwind/promoted/core/flows.py
@@ -1,11 +1,11 @@
-"""The order of steps of each command on a promoted group, as generators without I/O.
+"""Flows of the commands on a promoted group: the order of their steps, as generators without I/O.
 
-A flow yields a step and is sent its result, or has an error thrown in. What a flow has in its
-hands when an error reaches it decides what the caller may be answered (`docs/STATEMENTS.md`):
+A flow yields a step and receives its result, or an error is thrown into it. The progress of the
+flow when the error arrives determines the answer to the caller (`docs/STATEMENTS.md`):
 
-- before the first byte left for an instance, nothing ran;
-- a write or COMMIT leaves once; after that, without an answer, its outcome is unknown;
-- a transaction whose connection ended before its COMMIT left is rolled back by the instance;
+- before the first byte was sent to an instance, nothing has run;
+- a write or COMMIT is sent only once; if no answer arrives, its outcome is unknown;
+- if a transaction's connection ends before its COMMIT was sent, the instance rolls it back;
 - a read changes nothing, so it may run again until the deadline.
 """
 
@@ -19,10 +19,10 @@
 )
 from orchidwind.promoted.core.flow_parts import (
     CommandContext,
-    after_failed_read,
-    after_refused_write,
     exchange,
     exchange_by_plan,
+    prepare_read_retry,
+    prepare_write_retry,
     primary_connection,
     read_connection,
     statement_messages,
@@ -43,7 +43,10 @@
 
 
 def command_flow(context: CommandContext) -> Flow:
-    """The flow of one command that needs an instance."""
+    """Returns the flow of a command that needs an instance.
+
+    Raises RequestError if an EXECUTE names an unknown prepared statement.
+    """
     kind = context.command.kind
     if kind is CommandKind.COMMIT:
         return commit_flow(context)
@@ -57,6 +60,7 @@
 
 
 def _single_read(context: CommandContext) -> Flow:
+    """Runs a read outside of a transaction; it may be sent to several instances in turn."""
     while True:
         plan, connection = yield from read_connection(context)
         messages = with_floor(statement_messages(context, connection), plan)
@@ -70,10 +74,11 @@
         context.note(plan.instance, f"floor={plan.floor}:{reply.code.value}")
         if reply.done:
             return CommandResult(reply.rows, reply.signature)
-        yield from after_failed_read(context, plan, reply)
+        yield from prepare_read_retry(context, plan, reply)
 
 
 def _single_write(context: CommandContext) -> Flow:
+    """Runs a write outside of a transaction; it is sent again only if it surely did not run."""
     while True:
         primary, connection = yield from primary_connection(lead_proof=False)
         messages = tuple(statement_messages(context, connection))
@@ -96,4 +101,4 @@
             context.group.commit_acknowledged(sent_at, reply.position)
             return CommandResult(reply.rows, reply.signature)
         context.sent_write = False
-        yield from after_refused_write(context, primary.instance, reply)
+        yield from prepare_write_retry(context, primary.instance, reply)
--- a/src/orchidwind/promoted/core/read_planning.py
+++ b/src/orchidwind/promoted/core/read_planning.py
@@ -1,23 +1,24 @@
-"""Where a read runs next. No I/O, no clock.
+"""Chooses the instance that runs a read. No I/O, no clock.
 
-The rule. A read that needs the latest state runs on the primary, and its answer counts only with a
-proof of the lead. Any other read takes the least proven floor that its bound allows, raised to what
-its session has written, and runs at that floor on a replica that
+A read that needs the latest state runs on the primary, and its answer counts only with a proof of
+leadership. Any other read takes the lowest proven floor that its staleness bound allows, raised to
+the position that its session has written, and runs at that floor on a replica that
 
-- has not failed this very read, and answers;
-- was not found a moment ago to lack the floor (unless there is no primary);
-- did not refuse work or fail to answer a moment ago, while the primary could take the read.
+- is reachable and has not already failed this read;
+- did not recently turn out to lack the floor (ignored while there is no primary);
+- did not recently refuse work or fail to answer (ignored while the primary is busy or unknown).
 
-Of these it takes the one that is expected to answer first, one in another zone only where that
-gains more than the way there costs. The primary, which has work that nobody else can do, takes it
-where all of them would answer much later. Without such a floor or replica it runs on the primary,
-as a read of the latest state.
+Of these replicas it chooses the one with the shortest expected answer time, and one in another zone
+only if that saves more than the additional network latency. If the chosen replica would answer much
+later than the primary, the primary runs the read, although it is the only instance that can take
+writes. Without a floor or an eligible replica, the read runs on the primary as a read of the latest
+state.
 
-So reads leave an instance that is busy, slow or answers nothing, and load that one instance could
-not bear is spread over all.
+Reads thus move away from an instance that is busy, slow or unreachable, and a load that is too high
+for one instance spreads over all of them.
 
-Owns: nothing. Relies on: `topology` for instances and primary, `proven_floors` for floors,
-`shared/core/answer_times` for what an instance is expected to take.
+The instances and the primary come from `topology`, floors from `proven_floors`, and expected answer
+times from `shared/core/answer_times`.
 """
 
 from __future__ import annotations
@@ -30,28 +31,30 @@
 from orchidwind.promoted.core.topology import GroupTopology, PrimaryView
 from orchidwind.shared.core.positions import Position
 
-# What the way to another zone costs, in seconds of waiting that it must save.
-_OTHER_ZONE_SECONDS = 0.004
-# The primary takes a read that a replica could serve where it is expected to answer so many times
-# as soon: a read there delays writes, which no other instance takes.
-_PRIMARY_SOONER = 3.0
-# And where it gains at least so many seconds: less may be the noise of a few answers.
-_PRIMARY_SAVES_SECONDS = 0.05
+# Seconds that an instance in another zone must save to be preferred: the latency between zones.
+_CROSS_ZONE_SECONDS = 0.004
+# The primary runs a read that a replica could serve only if it is expected to answer this many
+# times faster: a read on the primary delays writes, which no other instance can run.
+_PRIMARY_SPEEDUP = 3.0
+# The primary must also save at least this many seconds: a smaller difference may be noise in a few
+# answer times.
+_PRIMARY_MINIMUM_SAVING_SECONDS = 0.05
 
-# In how many seconds an instance is expected to answer.
-ExpectedAnswer = Callable[[str], float]
+# Returns the expected answer time of an instance, in seconds.
+ExpectedAnswerTime = Callable[[str], float]
 
 
-def _alike(instance: str) -> float:
-    """Where nothing is known of answers, all instances are alike."""
+def _equal_answer_time(instance: str) -> float:
+    """The default without measured answer times: all instances count as equally fast."""
     return 0.0
 
 
 class ReadRequest(Struct, frozen=True):
-    """What a read asks for.
+    """The requirements of one read.
 
-    `session_floor`: up to where its session has written, None where it has not. `arrived_at`: in
-    seconds of the steady clock. `excluded`: replicas that have failed this read.
+    `session_floor` is the log position up to which its session has written, None if it has not
+    written. `arrived_at` is in seconds of the monotonic clock. `excluded` names the replicas that
+    have already failed this read.
     """
 
     database: DatabaseRoute
@@ -61,10 +64,10 @@
 
 
 class ReadPlan(Struct, frozen=True):
-    """Run a read on `instance`, at `floor` where given.
+    """The instance that runs a read, and the floor that its log must have reached, if any.
 
-    `proof_of_term` asks for the proof that this is still the primary in that term, as of the
-    read's arrival; it is 0 where the floor alone makes the read fresh enough.
+    If `proof_of_term` is not 0, the answer needs a proof that the instance was still the primary of
+    that term when the read arrived. It is 0 if the floor alone makes the read fresh enough.
     """
 
     instance: str
@@ -76,15 +79,15 @@
     topology: GroupTopology,
     request: ReadRequest,
     now: float,
-    expected_answer: ExpectedAnswer = _alike,
+    expected_answer: ExpectedAnswerTime = _equal_answer_time,
 ) -> ReadPlan | None:
-    """Where a read runs next, None while no instance may serve it."""
+    """Returns the next attempt of a read, or None if no instance may serve it now."""
     primary = topology.primary(now)
-    floor = _floor(topology, request)
+    floor = _required_floor(topology, request)
     if floor is not None:
-        replica = _replica_for_read(topology, request, primary, floor, now, expected_answer)
+        replica = _fastest_replica(topology, request, primary, floor, now, expected_answer)
         if replica is not None:
-            if primary is not None and _primary_relieves(
+            if primary is not None and _primary_is_much_faster(
                 topology, primary, replica, request, now, expected_answer
             ):
                 return ReadPlan(primary.instance, floor)
@@ -94,24 +97,25 @@
     return ReadPlan(primary.instance, None, primary.term)
 
 
-def _primary_relieves(
+def _primary_is_much_faster(
     topology: GroupTopology,
     primary: PrimaryView,
     replica: str,
     request: ReadRequest,
     now: float,
-    expected_answer: ExpectedAnswer,
+    expected_answer: ExpectedAnswerTime,
 ) -> bool:
+    """Whether the primary accepts work and would answer much sooner than the replica."""
     view = topology.instances[primary.instance]
     if primary.instance in request.excluded or not view.reachable or view.busy_recently(now):
         return False
     at_primary, at_replica = expected_answer(primary.instance), expected_answer(replica)
-    saves = at_replica - at_primary >= _PRIMARY_SAVES_SECONDS
-    return saves and at_primary * _PRIMARY_SOONER < at_replica
+    saves = at_replica - at_primary >= _PRIMARY_MINIMUM_SAVING_SECONDS
+    return saves and at_primary * _PRIMARY_SPEEDUP < at_replica
 
 
-def _floor(topology: GroupTopology, request: ReadRequest) -> Position | None:
-    """What a replica must hold to serve a read, None where only the primary may serve it."""
+def _required_floor(topology: GroupTopology, request: ReadRequest) -> Position | None:
+    """Returns the floor for a replica, or None if only the primary may serve the read."""
     database = request.database
     if database.consistency is ReadConsistency.LATEST:
         return None
@@ -122,44 +126,46 @@
     return max(floor, written)
 
 
-def _replica_for_read(
+def _fastest_replica(
     topology: GroupTopology,
     request: ReadRequest,
     primary: PrimaryView | None,
     floor: Position,
     now: float,
-    expected_answer: ExpectedAnswer,
+    expected_answer: ExpectedAnswerTime,
 ) -> str | None:
-    able = _able_replicas(topology, request, primary, floor, now)
-    if not able:
+    """Returns the replica with the lowest expected cost, or None if none is eligible."""
+    eligible = _eligible_replicas(topology, request, primary, floor, now)
+    if not eligible:
         return None
 
     def cost(name: str) -> tuple[bool, float]:
         view = topology.instances[name]
-        way = 0.0 if topology.is_near(name) else _OTHER_ZONE_SECONDS
-        return view.avoid_until > now, expected_answer(name) + way
+        zone_penalty = 0.0 if topology.is_near(name) else _CROSS_ZONE_SECONDS
+        return view.avoid_until > now, expected_answer(name) + zone_penalty
 
-    return min(able, key=cost)
+    return min(eligible, key=cost)
 
 
-def _able_replicas(
+def _eligible_replicas(
     topology: GroupTopology,
     request: ReadRequest,
     primary: PrimaryView | None,
     floor: Position,
     now: float,
 ) -> list[str]:
-    primary_has_room = primary is not None and not topology.instances[
+    """Returns the replicas that may serve a read at `floor`, by the rules of this module."""
+    primary_takes_work = primary is not None and not topology.instances[
         primary.instance
     ].busy_recently(now)
-    able = []
+    eligible = []
     for name in topology.replicas(now):
         view = topology.instances[name]
         if name in request.excluded or not view.reachable:
             continue
         if view.lacks(floor, now) and primary is not None:
             continue
-        if view.avoid_until > now and primary_has_room:
+        if view.avoid_until > now and primary_takes_work:
             continue
-        able.append(name)
-    return able
+        eligible.append(name)
+    return eligible
