--- a/src/orchidwind/promoted/core/forwarded_commands.py
+++ b/src/orchidwind/promoted/core/forwarded_commands.py
@@ -1,8 +1,8 @@
-"""A command on its way to the home of its group, and its answer on the way back. No I/O.
+"""Converts commands and their answers between sessions and peer messages. No I/O.
 
-For: `promoted.peers`: the front builds messages from a session, the home a session from messages.
-Owns how the two correspond, both ways. Relies on `peer_messages` for the forms. What becomes of a
-command whose home is lost, `peer_loss` decides.
+`promoted.peers` uses it on both sides: the front proxy builds messages from a session, and the home
+proxy builds a session from messages. `peer_messages` has the message types. `peer_loss` decides
+what happens to a command whose home proxy is lost.
 """
 
 from __future__ import annotations
@@ -20,14 +20,15 @@
 from orchidwind.promoted.core.session import OpenTransaction, Session
 from orchidwind.shared.core.errors import ErrorKind, RequestError
 
-# Under this name a session at the home holds the one statement that its command executes.
+# Name under which a session at the home proxy holds the prepared statement of its current command.
 _PREPARED_NAME = "forwarded"
-# So many attempts of the home go into the front's log line. The last ones tell the outcome.
+# Number of the home proxy's attempts that are logged by the front proxy: the last ones, as they
+# show the outcome.
 _LOGGED_ATTEMPTS = 4
 
 
 class TransactionProgress(Enum):
-    """Where a command stands in its session's transaction, as the home sees it."""
+    """The relation of a command to its session's transaction, as the home proxy sees it."""
 
     NONE = "none"
     BEGINS = "begins"
@@ -35,14 +36,14 @@
 
 
 class CommandNumbers(Struct, frozen=True):
-    """The number of a command on its link, and the number of its session there (the channel)."""
+    """The numbers that identify a command and its session (the channel) on a link."""
 
     command: int
     channel: int
 
 
 class TimeLeft(Struct, frozen=True):
-    """Seconds until a command's deadline, and for how many it may wait unsent."""
+    """Seconds until a command's deadline, and seconds for which it may wait before it is sent."""
 
     to_deadline: float
     to_hold: float
@@ -51,9 +52,9 @@
 def run_command(
     context: CommandContext, numbers: CommandNumbers, progress: TransactionProgress, left: TimeLeft
 ) -> RunCommand:
-    """The message that has a home carry a command out; raises RequestError.
+    """Returns the message that asks a home proxy to run a command.
 
-    An error is raised where an EXECUTE names what the session has not prepared.
+    Raises RequestError if an EXECUTE names a statement that the session has not prepared.
     """
     session, command, database = context.session, context.command, context.database
     transaction = session.transaction
@@ -69,7 +70,8 @@
         timeout=database.statement_timeout,
         kind=command.kind.value,
         request_id=command.request_id,
-        # Of an EXECUTE only its argument goes to an instance: the text would carry it twice.
+        # An instance needs only the argument of an EXECUTE; the text would contain it a second
+        # time.
         text="" if executes else command.text,
         argument=command.argument,
         prepared=session.prepared_for(command) if executes else None,
@@ -86,13 +88,13 @@
 def context_at_home(
     message: RunCommand, session: Session, group: GroupState, now: float
 ) -> CommandContext:
-    """Bring the home's session to what the front's holds, and the command to run in it.
+    """Updates the home proxy's session from a message and returns the context of its command.
 
-    Raises RequestError where the command continues a transaction that is not open here any more.
+    Raises RequestError if the command continues a transaction that is no longer open here.
     """
     database = _database(message)
-    _take_session(message, session)
-    _take_transaction(message, session, database)
+    _update_session(message, session)
+    _update_transaction(message, session, database)
     command = Command(
         message.request_id,
         CommandKind(message.kind),
@@ -104,7 +106,7 @@
 
 
 def _database(message: RunCommand) -> DatabaseRoute:
-    """The rules of the database, as they are in force at the front."""
+    """Returns the database's settings as the front proxy knows them."""
     return DatabaseRoute(
         name=message.database,
         group=message.group,
@@ -116,14 +118,19 @@
     )
 
 
-def _take_session(message: RunCommand, session: Session) -> None:
+def _update_session(message: RunCommand, session: Session) -> None:
+    """Sets the session's settings, floor and prepared statement from a message."""
     session.settings = {item.name: item.value for item in message.settings}
     session.raise_floor(message.floor)
     if message.prepared is not None:
         session.prepared = {_PREPARED_NAME: message.prepared}
 
 
-def _take_transaction(message: RunCommand, session: Session, database: DatabaseRoute) -> None:
+def _update_transaction(message: RunCommand, session: Session, database: DatabaseRoute) -> None:
+    """Opens the session's transaction if the command begins one.
+
+    Raises RequestError if the command continues a transaction that is no longer open here.
+    """
     if session.transaction is not None:
         return
     if message.transaction == TransactionProgress.CONTINUES.value:
@@ -135,7 +142,7 @@
 def answer_with_result(
     message: RunCommand, session: Session, context: CommandContext, result: CommandResult
 ) -> CommandAnswer:
-    """The answer to a command that succeeded."""
+    """Returns the answer to a command that succeeded."""
     return CommandAnswer(
         number=message.number,
         error="",
@@ -145,14 +152,14 @@
         signature=result.signature,
         floor=session.floor,
         sent_to=context.sent_to,
-        attempts=_attempts(context),
+        attempts=_logged_attempts(context),
     )
 
 
 def answer_with_error(
     message: RunCommand, session: Session, context: CommandContext | None, error: RequestError
 ) -> CommandAnswer:
-    """The answer to a command that failed; without `context` it failed before it was begun."""
+    """Returns the answer to a failed command; `context` is None if it failed before it started."""
     return CommandAnswer(
         number=message.number,
         error=error.kind.value,
@@ -162,16 +169,17 @@
         signature="",
         floor=session.floor,
         sent_to=context.sent_to if context else "",
-        attempts=_attempts(context) if context else "",
+        attempts=_logged_attempts(context) if context else "",
     )
 
 
-def _attempts(context: CommandContext) -> str:
+def _logged_attempts(context: CommandContext) -> str:
+    """Returns the last attempts of a command, for the log of the front proxy."""
     return " ".join(context.attempts[-_LOGGED_ATTEMPTS:])
 
 
 def result_at_front(answer: CommandAnswer) -> CommandResult:
-    """What the caller gets; raises RequestError where the command failed."""
+    """Returns the result for the caller; raises RequestError if the command failed."""
     if answer.error:
         raise RequestError(
             ErrorKind(answer.error),
--- a/src/orchidwind/promoted/core/homes.py
+++ b/src/orchidwind/promoted/core/homes.py
@@ -1,17 +1,21 @@
-"""Which proxies hold the server connections of a promoted group: its homes. No I/O.
-
-Every proxy computes the same answer from the same members. In a small fleet, where each proxy can
-have a useful number of connections, each is a home and requests take no further hop. Beyond that, a
-few proxies of each zone are homes, and the others forward to them. The groups share their homes: so
-few proxies follow the directory, the promotion lock and the rosters, and each sees enough requests
-of a group to keep its connections in use. Views that differ for a moment give a group more homes
-than meant; the instances' own connection limit then has the last word, and no promise rests on who
-is a home.
-
-Weighed: one home a zone (its loss moves a whole zone's requests at once), homes of each group by
-itself (at 195 proxies and 10 groups two thirds of all proxies were homes, and an instance that runs
-two requests at once had connections from 21), connections lent between proxies (at 300 proxies and
-34 connections most would hold none), connections opened for each request (12 to 32 ms each).
+"""Chooses the home proxies of a promoted group: those that hold its server connections. No I/O.
+
+Every proxy computes the same result from the same list of members. In a small fleet, where the
+connection limit allows each proxy a useful number of connections, every proxy is a home, and
+requests need no additional network hop. In a larger fleet, a few proxies of each zone are homes,
+and the others forward requests to them. The groups share their homes: only a few proxies then
+follow the directory, the promotion lock and the rosters, and each gets enough requests of a group
+to keep its connections in use. While the proxies' lists of members differ, a group may temporarily
+have more homes than intended. The instances' own connection limit still applies, and correctness
+does not depend on the choice of homes.
+
+Rejected alternatives:
+
+- One home per zone: its loss moves the requests of a whole zone at once.
+- Separate homes for each group: with 195 proxies and 10 groups, two thirds of all proxies were
+  homes, and an instance that runs two requests at a time had connections from 21 proxies.
+- Lending connections between proxies: with 300 proxies and 34 connections, most would hold none.
+- Opening a connection for each request: 12 to 32 ms each.
 """
 
 from __future__ import annotations
@@ -24,41 +28,46 @@
 
 from orchidwind.shared.core.rendezvous import first, rank
 
-# Connections of a proxy to each instance. With fewer, its requests wait for one another's.
-FEWEST_USEFUL_CONNECTIONS = 4
-# Connections of a home to each instance where few proxies are homes. Half more than the
-# fewest, as a home carries the requests of several proxies.
-CONNECTIONS_OF_A_HOME = 6
-# So many connections to an instance of its zone has a home for each one that a home of another zone
-# has, where connections belong to tenants.
-_NEAR_PARTS = 3
-# One can be lost, and requests still have a home in their zone.
-MOST_HOMES_A_ZONE = 2
-# How many groups a proxy may be home of before more proxies of the zone share them. With as
-# many, the busiest home of 195 proxies spent 0.07 of a core on a calm day (docs/CAPACITY.md).
-GROUPS_OF_A_HOME = 10
-# Connections that a home opens at least, whatever its share. A transaction that rests must
-# not stop all other requests; an instance that is over its limit refuses the others.
-_FEWEST_CONNECTIONS = 2
+# Minimum useful number of connections from a proxy to each instance. With fewer, its requests wait
+# for each other.
+MINIMUM_USEFUL_CONNECTIONS = 4
+# Connections from a home to each instance if only some proxies are homes: 1.5 times the minimum,
+# because a home serves the requests of several proxies.
+CONNECTIONS_PER_HOME = 6
+# If connections belong to tenants, a home in the zone of an instance gets this many connections to
+# it for each connection that a home in another zone gets.
+_NEAR_CONNECTION_RATIO = 3
+# With two homes per zone, one can be lost and the zone's requests still have a home in the zone.
+MAXIMUM_HOMES_PER_ZONE = 2
+# Number of groups per home above which more proxies of a zone become homes. With this many, the
+# busiest home of 195 proxies used 0.07 of a core at normal load (docs/CAPACITY.md).
+GROUPS_PER_HOME = 10
+# Minimum number of connections of a home, whatever its share of the limit: an idle transaction must
+# not block all other requests. An instance that reaches its limit refuses further connections.
+_MINIMUM_CONNECTIONS = 2
 _SHARED_KEY = "shared-homes"
-# A proxy that was not reached for so many seconds is taken off the list of proxies. Long
-# beside a restart (a second); its lost link keeps requests away from it until then.
+# A proxy that was unreachable for this many seconds is removed from the list of proxies. This is
+# long compared with a restart (a second); until then, no requests go to it because its link is
+# down.
 FORGET_PROXY_SECONDS = 30.0
-# A list that does not name a proxy is believed so many seconds after the proxy wrote its entry.
-# Half of the age that the list may have (`ProxyBounds.members`).
+# Seconds after a proxy wrote its own entry before it trusts a list of members that lacks the entry.
+# Half of the maximum age of the list (`ProxyBounds.members`).
 OWN_ENTRY_LISTED_AFTER_SECONDS = 10.0
-# After a return of the store from a copy, seconds for which a proxy that the copy lacks stays a
-# member. Proxies know of the return within half a second of one another, and list
-# themselves again within one; the rest is for calls that are refused.
+# Seconds for which a proxy stays a member after the store was restored from an older copy that
+# lacks its entry. Proxies learn of the restore within half a second of one another and write their
+# entries again within one second; the rest allows for calls that are refused.
 RELISTING_SECONDS = 3.0
 _LOCK_READER_KEY = "promotion-lock"
-# How many proxies read the promotion lock for the others. The store may turn one away and
-# serve the other; they sit in different zones.
+# Number of proxies that read the promotion lock for the others. They are in different zones,
+# because the store may refuse one of them and still serve the other.
 _LOCK_READERS = 2
 
 
 class ProxyMember(Struct, frozen=True):
-    """One proxy. `capacity` weighs it against others; `host` and `port` take peer links."""
+    """One proxy of the fleet.
+
+    `host` and `port` accept links from other proxies; `capacity` is relative to other proxies.
+    """
 
     name: str
     zone: str
@@ -68,9 +77,10 @@
 
 
 class GroupHomes(Struct, frozen=True):
-    """The homes of a group, and how many connections each may hold to its primary.
+    """The home proxies of a group, and the number of connections that each may hold.
 
-    `near_connections` and `far_connections`: to a replica of its zone, and to one of another.
+    `connections` is the number to the primary, `near_connections` to a replica in the home's own
+    zone, and `far_connections` to a replica in another zone.
     """
 
     group: str
@@ -80,22 +90,24 @@
     far_connections: int
 
     def includes(self, name: str) -> bool:
-        """Whether a proxy is a home."""
+        """Whether the proxy of this name is a home of the group."""
         return any(member.name == name for member in self.homes)
 
     def preferred(self, front: str, zone: str) -> list[ProxyMember]:
-        """The homes in the order in which a proxy sends requests to them.
+        """Returns the homes in the order in which a front proxy prefers them.
 
-        Itself, those of its zone, then the others; several proxies spread over them.
+        The front proxy itself comes first, then homes in its zone, then the others. Homes of equal
+        rank are ordered by a hash, so that different front proxies spread over them.
         """
         ordered = self._ranked(f"{self.group}/{front}")
         return sorted(ordered, key=lambda member: (member.name != front, member.zone != zone))
 
     def preferred_of_tenant(self, tenant: str, large: bool, zone: str) -> list[ProxyMember]:
-        """The homes in the order in which proxies of a zone send a tenant's requests to them.
+        """Returns the homes in the order in which proxies of a zone prefer them for a tenant.
 
-        A large tenant has a home in each zone. Any other has one for all zones: its requests use
-        the same few connections and one bucket of its quota, which is worth the way to that home.
+        A large tenant has a home in each zone. Any other tenant has one home for all zones: its
+        requests then share a few connections and one token bucket, which outweighs the latency
+        between zones.
         """
         if not large:
             return self._ranked(tenant)
@@ -103,6 +115,7 @@
         return sorted(ordered, key=lambda member: member.zone != zone)
 
     def _ranked(self, key: str) -> list[ProxyMember]:
+        """Returns the homes in rendezvous-hash order for a key."""
         by_name = {member.name: member for member in self.homes}
         return [by_name[name] for name in rank(key, list(by_name))]
 
@@ -114,32 +127,33 @@
     groups: int,
     has_tenants: bool = False,
 ) -> GroupHomes:
-    """The homes of one of so many groups, by how many connections its instances take each.
+    """Returns the homes of a group whose instances accept `connection_limit` connections each.
 
-    Where callers have tenants, each connection serves one of them: a home then holds more of them
-    to the replicas of its zone, where most of its reads run. All homes write to the primary.
+    `groups` is the number of groups that share the proxies. If callers have tenants, each
+    connection serves one tenant. A home then gets more connections to the replicas in its zone,
+    where most of its reads run. All homes send writes to the primary.
     """
     by_zone: dict[str, list[ProxyMember]] = {}
     for member in sorted(members, key=lambda member: member.name):
         by_zone.setdefault(member.zone, []).append(member)
-    known = [member for zone in by_zone.values() for member in zone]
-    useful = len(known) * FEWEST_USEFUL_CONNECTIONS <= connection_limit
-    if useful and len(known) <= len(by_zone) * MOST_HOMES_A_ZONE:
-        homes = known
+    ordered_members = [member for zone in by_zone.values() for member in zone]
+    enough_for_all = len(ordered_members) * MINIMUM_USEFUL_CONNECTIONS <= connection_limit
+    if enough_for_all and len(ordered_members) <= len(by_zone) * MAXIMUM_HOMES_PER_ZONE:
+        homes = ordered_members
     else:
-        homes = _chosen(group, connection_limit, by_zone, groups)
-    share = max(connection_limit // max(len(homes), 1), _FEWEST_CONNECTIONS)
+        homes = _choose_homes(group, connection_limit, by_zone, groups)
+    share = max(connection_limit // max(len(homes), 1), _MINIMUM_CONNECTIONS)
     if not has_tenants or not homes:
         return GroupHomes(group, tuple(homes), share, share, share)
     near = max(Counter(home.zone for home in homes).values())
-    parts = near * _NEAR_PARTS + len(homes) - near
-    far = max(connection_limit // parts, _FEWEST_CONNECTIONS)
-    left = (connection_limit - far * (len(homes) - near)) // near
-    return GroupHomes(group, tuple(homes), share, max(left, far), far)
+    parts = near * _NEAR_CONNECTION_RATIO + len(homes) - near
+    far = max(connection_limit // parts, _MINIMUM_CONNECTIONS)
+    near_share = (connection_limit - far * (len(homes) - near)) // near
+    return GroupHomes(group, tuple(homes), share, max(near_share, far), far)
 
 
 def zone_readers(view: str, followers: Iterable[ProxyMember]) -> dict[str, ProxyMember]:
-    """Which proxy of each zone watches the store closely for the others of it, by zone."""
+    """Returns, by zone, the proxy that follows a view in the store on behalf of its zone."""
     by_zone: dict[str, dict[str, ProxyMember]] = {}
     for member in followers:
         by_zone.setdefault(member.zone, {})[member.name] = member
@@ -152,7 +166,7 @@
 
 
 def lock_readers(members: Iterable[ProxyMember]) -> list[ProxyMember]:
-    """Which proxies read the promotion lock for the others, in the order in which to ask them."""
+    """Returns the proxies that read the promotion lock for the others, in order of preference."""
     chosen: list[ProxyMember] = []
     candidates = {member.name: member for member in members}
     while len(chosen) < _LOCK_READERS:
@@ -167,23 +181,27 @@
     return chosen
 
 
-def _chosen(
+def _choose_homes(
     group: str, connection_limit: int, by_zone: Mapping[str, list[ProxyMember]], groups: int
 ) -> list[ProxyMember]:
-    wanted = max(1, connection_limit // CONNECTIONS_OF_A_HOME)
+    """Returns the homes of a group in a fleet where not every proxy is a home."""
+    wanted = max(1, connection_limit // CONNECTIONS_PER_HOME)
     zones = rank(group, sorted(by_zone))[:wanted]
-    in_each = min(max(1, wanted // len(zones)), MOST_HOMES_A_ZONE)
+    per_zone = min(max(1, wanted // len(zones)), MAXIMUM_HOMES_PER_ZONE)
     homes: list[ProxyMember] = []
     for zone in zones:
-        shared = {member.name: member for member in _shared(by_zone[zone], groups)}
-        homes.extend(shared[name] for name in rank(group, sorted(shared))[:in_each])
+        shared = {member.name: member for member in _shared_homes(by_zone[zone], groups)}
+        homes.extend(shared[name] for name in rank(group, sorted(shared))[:per_zone])
     return homes
 
 
-def _shared(members: Iterable[ProxyMember], groups: int) -> list[ProxyMember]:
-    """The proxies of a zone that its groups share as homes: the strongest, by hash among equals."""
+def _shared_homes(members: Iterable[ProxyMember], groups: int) -> list[ProxyMember]:
+    """Returns the proxies of a zone that the groups share as homes.
+
+    These are the proxies with the highest capacity, ordered by a hash where capacities are equal.
+    """
     by_name = {member.name: member for member in members}
     ordered = [by_name[name] for name in rank(_SHARED_KEY, sorted(by_name))]
     ordered.sort(key=lambda member: -member.capacity)
-    wanted = ceil(groups * MOST_HOMES_A_ZONE / GROUPS_OF_A_HOME)
-    return ordered[: max(wanted, MOST_HOMES_A_ZONE)]
+    wanted = ceil(groups * MAXIMUM_HOMES_PER_ZONE / GROUPS_PER_HOME)
+    return ordered[: max(wanted, MAXIMUM_HOMES_PER_ZONE)]
--- a/src/orchidwind/promoted/core/link_silence.py
+++ b/src/orchidwind/promoted/core/link_silence.py
@@ -1,43 +1,44 @@
-"""When an open link to another proxy is probed, when it counts as silent, when a lost one is tried.
+"""Decides when a link to another proxy is probed, counts as silent, and is reopened. No I/O.
 
-For: `promoted.peers`, whose drivers hold the sockets and timers and ask here. Owns the times of a
-link. No I/O: times come in, in seconds of one steady clock.
+The drivers in `promoted.peers` hold the sockets and timers and call this module with times in
+seconds of one monotonic clock.
 
-An open connection may swallow all that is sent, for good and without an end, while a new one works.
-The other side answers a probe at once whatever else it does, so a link on which an answer is owed
-and no byte comes is silent, not busy. docs/SILENCE.md, "Connections (promoted groups)", has what
-that comes to in a large fleet.
+An open connection may accept all bytes and deliver none, without ever ending, while a new
+connection works. The other side answers a probe at once, whatever else it does. A link on which an
+answer is pending and no byte arrives is therefore silent, not busy. docs/SILENCE.md, "Connections
+(promoted groups)", describes the cost in a large fleet.
 """
 
 from __future__ import annotations
 
 from enum import Enum, auto
 
-# A new connection that is not open after so long has failed. As long as silence of an open
-# one, since the same commands wait for either.
+# Timeout for opening a connection. The same as for a silent connection, because the same commands
+# wait for either.
 LINK_CONNECT_SECONDS = 0.4
-# While an answer is owed, a link without a byte for so long is probed. Answers on one site
-# take milliseconds, and a probe that is lost once comes again before the link is given up.
+# While an answer is pending, a link is probed after this many seconds without a byte. Answers
+# within a site take milliseconds, and a lost probe is repeated before the link is given up.
 LINK_PROBE_AFTER_SECONDS = 0.15
-# While an answer is owed, a link without a byte for longer is given up. Half of 0.8 s, the
-# shortest statement time-out of the first users, so that a read has time left at another home.
+# While an answer is pending, a link is given up after this many seconds without a byte. Half of the
+# first users' shortest statement timeout of 0.8 s, so that a read has time left to run at another
+# home proxy.
 LINK_SILENT_SECONDS = 0.4
-# How often an owed answer is checked. It adds at most an eighth to the time above.
+# Interval of the checks while an answer is pending. It adds at most an eighth to the time above.
 LINK_CHECK_SECONDS = 0.05
-# One that was used lately is probed when nothing came for so long, so that no request finds the
-# silence first. A busy link is hardly ever probed (docs/SILENCE.md has what it costs).
+# A recently used link is probed after this many seconds without a message, so that a silent link is
+# found before a request uses it. A busy link is rarely probed (docs/SILENCE.md describes the cost).
 LINK_REST_PROBE_SECONDS = 1.0
-# For so long after its last use a link is probed at rest. What is used seldom costs the
-# fleet more in probes than its next user loses.
+# Seconds after its last use for which an idle link is probed. Probing rarely used links would cost
+# the fleet more than the next request on such a link loses.
 LINK_IN_USE_SECONDS = 5.0
-# Pauses between attempts to open a lost link anew. No request waits for them, so a cut that
-# has healed may be noticed within a second; a machine that is gone costs a packet each.
+# Pauses between attempts to reopen a lost link. No request waits for these attempts, so noticing a
+# restored network within a second is enough; each attempt costs a packet if the machine is gone.
 FIRST_REOPEN_PAUSE_SECONDS = 0.25
 LONGEST_REOPEN_PAUSE_SECONDS = 1.0
 
 
 class LinkCheck(Enum):
-    """What is to be done about a link on which an answer is owed."""
+    """The action on a link on which an answer is pending."""
 
     WAIT = auto()
     PROBE = auto()
@@ -45,90 +46,90 @@
 
 
 class LinkSilence:
-    """What is known of one link: what was sent and received, and whether an answer is owed."""
+    """The times of the last events on one link, and whether an answer is pending."""
 
     def __init__(self) -> None:
         self._opened_at = 0.0
         self._received_at = 0.0
         self._used_at = float("-inf")
-        # Since when the other side owes an answer and has sent nothing; None: it owes none. Also an
-        # answer that nobody waits for any more is owed.
-        self._owed_since: float | None = None
+        # Since when an answer has been pending without a message from the other side; None if no
+        # answer is pending. An answer that no request waits for any more is also pending.
+        self._pending_since: float | None = None
 
     def opened(self, now: float) -> None:
-        """A connection was opened."""
+        """Records that a connection was opened."""
         self._opened_at = self._received_at = now
-        self._owed_since = None
+        self._pending_since = None
 
     def ended(self) -> None:
-        """The connection has ended: nothing is owed on it any more."""
-        self._owed_since = None
+        """Records that the connection has ended, and with it any pending answer."""
+        self._pending_since = None
 
     def asked(self, now: float) -> None:
-        """Something was sent that is answered: an answer is owed from now on, if not before."""
-        if self._owed_since is None:
-            self._owed_since = now
+        """Records that a message was sent that the other side answers."""
+        if self._pending_since is None:
+            self._pending_since = now
 
     def used(self, now: float) -> None:
-        """Something was sent that a request, or a view that it needs, waits for."""
+        """Records that a message was sent for a request or for a view that requests need."""
         self._used_at = now
 
     def received(self, now: float, more_owed: bool) -> None:
-        """A whole message came; `more_owed`: others are still waited for."""
+        """Records a complete message; `more_owed` tells whether further answers are pending."""
         self._received_at = now
-        self._owed_since = now if more_owed else None
+        self._pending_since = now if more_owed else None
 
     @property
     def owed(self) -> bool:
-        """Whether the other side owes an answer."""
-        return self._owed_since is not None
+        """Whether an answer of the other side is pending."""
+        return self._pending_since is not None
 
     def open_for(self, now: float) -> float:
-        """Seconds since the connection was opened."""
+        """Returns the seconds since the connection was opened."""
         return now - self._opened_at
 
     def silent_for(self, now: float, last_byte_at: float) -> float:
-        """Seconds without a byte while an answer is owed, 0 where none is.
+        """Returns the seconds without a byte while an answer is pending, 0 if none is.
 
-        `last_byte_at` counts also parts of a message: a long answer that is arriving is a sign of
-        life before it is whole.
+        `last_byte_at` includes incomplete messages: a long answer that is still arriving shows that
+        the link works.
         """
-        if self._owed_since is None:
+        if self._pending_since is None:
             return 0.0
-        return now - max(self._owed_since, last_byte_at)
+        return now - max(self._pending_since, last_byte_at)
 
     def check(self, now: float, last_byte_at: float) -> LinkCheck:
-        """What is to be done while an answer is owed."""
+        """Returns the action that the link needs now."""
         silent = self.silent_for(now, last_byte_at)
         if silent > LINK_SILENT_SECONDS:
             return LinkCheck.GIVE_UP
         return LinkCheck.PROBE if silent > LINK_PROBE_AFTER_SECONDS else LinkCheck.WAIT
 
     def in_use(self, now: float) -> bool:
-        """Whether the link was used lately, so that it is probed at rest."""
+        """Whether the link was used recently enough to be probed while idle."""
         return now - self._used_at <= LINK_IN_USE_SECONDS
 
     def rest_probe_due(self, now: float) -> bool:
-        """Whether the link is to be probed at rest: nothing is owed, and nothing came for long."""
-        return self._owed_since is None and now - self._received_at >= LINK_REST_PROBE_SECONDS
+        """Whether to probe the idle link: no answer is pending, and no message came for a while."""
+        return self._pending_since is None and now - self._received_at >= LINK_REST_PROBE_SECONDS
 
 
 class ReopenPause:
-    """How long a lost link rests before it is opened anew: twice as long after each failure."""
+    """The pause before a lost link is reopened, which doubles after each failure."""
 
     def __init__(self) -> None:
         self._next = FIRST_REOPEN_PAUSE_SECONDS
 
     def take(self) -> float:
-        """Seconds until the next attempt, which counts as one more."""
+        """Returns the seconds until the next attempt, and doubles the pause after it."""
         seconds = self._next
         self._next = min(seconds * 2, LONGEST_REOPEN_PAUSE_SECONDS)
         return seconds
 
     def reset(self) -> None:
-        """The other side has answered.
+        """Resets the pause; called when the other side has answered.
 
-        Only then, not at a new connection: one that takes connections but never answers must not be
-        tried at every command.
+        A new connection alone does not reset it: a proxy that accepts connections but never answers
+        must not be tried for every command.
         """
         self._next = FIRST_REOPEN_PAUSE_SECONDS
--- a/src/orchidwind/promoted/core/session.py
+++ b/src/orchidwind/promoted/core/session.py
@@ -1,8 +1,8 @@
-"""One caller's session on a promoted group: settings, prepared statements, transaction. No I/O.
+"""A caller's session on a promoted group: settings, prepared statements, transaction. No I/O.
 
-What for: a session keeps its promises on whatever connection its statements run; this is what each
-connection is brought to. Owns: the session's state, with the floor of its own writes. Relies on:
-flows that report what ran; errors are RequestError.
+The session keeps its state independently of the server connections that run its statements; each
+connection is brought to this state before it runs one. The session also holds the floor of its own
+writes. Flows report the results of commands to it. All errors are RequestError.
 """
 
 from __future__ import annotations
@@ -20,8 +20,8 @@
 from orchidwind.shared.core.positions import Position
 from orchidwind.shared.core.tenant_connections import NO_TENANT
 
-# Settings and prepared statements of one session at most. Bounds what a caller makes a
-# proxy hold, and what a connection may have to be brought to before a statement.
+# Maximum numbers of settings and prepared statements of one session. They limit the memory that a
+# caller can occupy, and the messages that a connection may need before a statement.
 MAXIMUM_SETTINGS = 256
 MAXIMUM_PREPARED = 1024
 
@@ -30,8 +30,8 @@
     """A transaction of a session.
 
     `connection` and `instance` are empty until its first statement runs. `database` holds the
-    rules in force when it began, `tenant` is its caller's. `last_used` is in seconds of the steady
-    clock.
+    database's settings at the begin of the transaction, `tenant` the caller's tenant. `last_used`
+    is in seconds of the monotonic clock.
     """
 
     database: DatabaseRoute
@@ -44,7 +44,7 @@
 
 
 class Session(Struct):
-    """What a proxy remembers of one connection of a caller."""
+    """The state that a proxy keeps for one caller connection."""
 
     settings: dict[str, str] = field(default_factory=dict)
     prepared: dict[str, PreparedStatement] = field(default_factory=dict)
@@ -54,31 +54,34 @@
 
     @property
     def state(self) -> TransactionState:
-        """The state that each answer to the caller names."""
+        """The transaction state that each answer to the caller contains."""
         if self.failed:
             return TransactionState.FAILED
         return TransactionState.IDLE if self.transaction is None else TransactionState.OPEN
 
     def raise_floor(self, position: Position | None) -> None:
-        """The session wrote up to a position."""
+        """Raises the floor to the log position of a write of this session."""
         if position is not None and (self.floor is None or position > self.floor):
             self.floor = position
 
     def prepared_for(self, command: Command) -> PreparedStatement:
-        """What an EXECUTE names; raises RequestError where the name is unknown."""
+        """Returns the statement that an EXECUTE names; raises RequestError if it is unknown."""
         found = self.prepared.get(command.name)
         if found is None:
             raise RequestError(ErrorKind.UNKNOWN_STATEMENT, command.name)
         return found
 
     def writes(self, command: Command) -> bool:
-        """Whether a command changes data."""
+        """Whether a command changes data; raises RequestError for an unknown statement name."""
         if command.kind is CommandKind.EXECUTE:
             return self.prepared_for(command).writes
         return command.kind is CommandKind.WRITE
 
     def answer_locally(self, command: Command) -> bool:
-        """Carry out what needs no instance; returns whether the command was of that kind."""
+        """Runs a command that needs no instance; returns False if the command needs one.
+
+        Raises RequestError if the session already has too many settings or prepared statements.
+        """
         if command.kind is CommandKind.SET:
             self._set(command)
         elif command.kind is CommandKind.PREPARE:
@@ -100,12 +103,12 @@
         self.prepared[command.name] = PreparedStatement(command.writes, command.shape)
 
     def fail_transaction(self) -> None:
-        """An error ended the transaction; only its end is taken now."""
+        """Marks the transaction as failed; only COMMIT or ROLLBACK is accepted now."""
         if self.transaction is not None:
             self.transaction = None
             self.failed = True
 
     def end_transaction(self) -> None:
-        """The transaction is over."""
+        """Ends the transaction, whether it failed or not."""
         self.transaction = None
         self.failed = False
