--- a/src/orchidwind/promoted/core/__init__.py
+++ b/src/orchidwind/promoted/core/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions of promoted groups; no input or output, no clock."""
+"""Rules and state machines of promoted groups, without I/O and clocks."""
--- a/src/orchidwind/promoted/core/answers.py
+++ b/src/orchidwind/promoted/core/answers.py
@@ -1,8 +1,8 @@
-"""What a caller is answered when its command failed on a promoted group. No I/O.
+"""Errors that are returned to a caller when its command failed on a promoted group. No I/O.
 
-What for: the answer must say what surely happened: a statement that did not run, a transaction that
-is rolled back, an outcome that is not known. docs/STATEMENTS.md has the table of all cases.
-Owns: nothing. Relies on: `attempts`, which first tries again what did not run.
+Each error states what is known to have happened: the statement did not run, the transaction was
+rolled back, or the outcome is unknown. docs/STATEMENTS.md lists all cases. `attempts` first decides
+whether a command that did not run is sent again.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 from orchidwind.promoted.core.commands import Reply, ReplyCode
 from orchidwind.shared.core.errors import ErrorKind, RequestError
 
-_REPORTED: dict[ReplyCode, ErrorKind] = {
+_ERROR_KINDS: dict[ReplyCode, ErrorKind] = {
     ReplyCode.BUSY: ErrorKind.OVERLOADED,
     ReplyCode.BEHIND: ErrorKind.NO_REPLICA,
     ReplyCode.READ_ONLY: ErrorKind.NO_PRIMARY,
@@ -22,29 +22,29 @@
 
 
 def reported(reply: Reply) -> RequestError:
-    """The answer to a single statement that an instance did not carry out."""
-    return RequestError(_REPORTED[reply.code], reply.text or reply.code.value)
+    """Returns the error for a single statement that an instance did not execute."""
+    return RequestError(_ERROR_KINDS[reply.code], reply.text or reply.code.value)
 
 
 def reported_in_transaction(reply: Reply) -> RequestError:
-    """Within a transaction an error rolls all of it back; that is what the caller is answered."""
+    """Returns the error for a statement that failed in a transaction, which is then rolled back."""
     if reply.code in (ReplyCode.FAILED, ReplyCode.TIMED_OUT, ReplyCode.REFUSED):
         return reported(reply)
     return transaction_lost()
 
 
 def transaction_lost() -> RequestError:
-    """The answer to a statement whose transaction is known to be rolled back."""
-    return RequestError(ErrorKind.TRANSACTION_LOST, "nothing of the transaction is kept")
+    """Returns the error for a statement whose transaction is known to be rolled back."""
+    return RequestError(ErrorKind.TRANSACTION_LOST, "the transaction was rolled back")
 
 
 def write_in_doubt() -> RequestError:
-    """The answer to a write or COMMIT that left and was not answered."""
+    """Returns the error for a write or COMMIT that was sent and not answered."""
     return RequestError(
         ErrorKind.OUTCOME_UNKNOWN, "the answer to a write was lost; it may or may not have run"
     )
 
 
 def read_interrupted() -> RequestError:
-    """The answer to the COMMIT of a transaction that only read, which was not answered."""
-    return RequestError(ErrorKind.READ_INTERRUPTED, "the connection was lost in a read")
+    """Returns the error for an unanswered COMMIT of a transaction that only read."""
+    return RequestError(ErrorKind.READ_INTERRUPTED, "the connection was lost during a read")
--- a/src/orchidwind/promoted/core/call_limits.py
+++ b/src/orchidwind/promoted/core/call_limits.py
@@ -1,29 +1,30 @@
-"""How long one call to the store or to the promotion service may take. No I/O.
+"""Timeouts of single calls to the store and to the promotion service. No I/O.
 
-For: the adapters, which end a call at these limits, and their callers, which wait no longer. Views
-that are followed have limits of their own (`freshness`). What becomes of a call that was ended is
-its caller's decision: a read is repeated, a write is read back.
+The adapters end a call at its timeout. Views that are followed continuously have timeouts of their
+own (`freshness`). The caller decides what to do after a timeout: a read is repeated, and a write is
+checked by reading back.
 """
 
 from __future__ import annotations
 
-# A store call that reads or changes one object, seconds. The first users' store answers in
-# 4 ms, and slowed a hundredfold in 0.4 s. A lead lease (1 s) runs out meanwhile by itself.
+# Timeout of a store call that reads or changes one object, in seconds. The first users' store
+# answers in 4 ms, and in 0.4 s if it is a hundred times slower. A leadership lease (1 s) expires
+# by itself meanwhile.
 STORE_CALL_SECONDS = 1.5
 
-# An answer that is arriving is waited for until nothing came for so long, seconds. A window
-# of 64 KB takes 0.1 s on a link of 5 Mbit/s, and a lost packet some tenths more.
+# Maximum number of seconds without data while an answer is arriving. A window of 64 KB takes 0.1 s
+# on a link of 5 Mbit/s, and a lost packet adds a few tenths of a second.
 ARRIVING_SECONDS = 1.0
 
-# Such an answer ends in any case after so long, seconds. 1 MB, the longest object of the
+# Maximum total duration of an answer that is arriving, in seconds. 1 MB, the largest object of the
 # first users' store, takes 8 s at 1 Mbit/s.
 LONGEST_ANSWER_SECONDS = 10.0
 
-# A promotion, seconds, where its caller does not allow less. The promotion lock is held
-# meanwhile, and the statuses of the instances tell the outcome where no answer came.
+# Timeout of a promotion, in seconds, unless its caller sets a shorter one. The promotion lock is
+# held meanwhile. If no answer arrives, the statuses of the instances show the outcome.
 PROMOTION_CALL_SECONDS = 1.0
 
-# How long a new session waits for the proxy's first configuration before it is refused, seconds.
-# A proxy is prepared 0.3 s after its start (docs/PLATFORM.md, "Programs, ports, messages"),
-# and one call of the store may be lost meanwhile.
+# Seconds for which a new session waits for the proxy's first configuration before it is refused. A
+# proxy has its configuration 0.3 s after its start (docs/PLATFORM.md, "Programs, ports, messages"),
+# and one call to the store may be lost meanwhile.
 FIRST_CONFIGURATION_SECONDS = 1.5
--- a/src/orchidwind/promoted/core/commands.py
+++ b/src/orchidwind/promoted/core/commands.py
@@ -1,7 +1,7 @@
-"""What callers ask of a promoted group, and what an instance replies. No I/O.
+"""Commands of callers, messages to instances, and their replies. No I/O.
 
-What for: the types that flows, drivers and adapters share. The adapters translate the words of the
-wire into them and back. Owns: nothing. Relies on: nothing but log positions.
+These are the types that flows, drivers and adapters of promoted groups share. The adapters
+translate them to and from the wire protocols.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 @unique
 class CommandKind(Enum):
-    """The statements of a session on a promoted group."""
+    """The kinds of statements in a session on a promoted group."""
 
     BEGIN = "begin"
     BEGIN_READ_ONLY = "begin_read_only"
@@ -33,9 +33,9 @@
 class Command(Struct, frozen=True):
     """One statement of a caller.
 
-    `request_id` and `text` are passed on unchanged. `name` is the setting's or the prepared
-    statement's; `argument` the setting's value, or what follows the prepared name. `writes` and
-    `shape` describe a PREPARE.
+    `request_id` and `text` are sent to the instance unchanged. `name` is the name of the setting or
+    of the prepared statement. `argument` is the value of the setting, or the text after the name of
+    the prepared statement. `writes` and `shape` describe the statement of a PREPARE.
     """
 
     request_id: str
@@ -48,22 +48,22 @@
 
 
 class PreparedStatement(Struct, frozen=True):
-    """What a prepared name stands for. The shared name is the same for all sessions."""
+    """A prepared statement; equal ones have the same shared name in all sessions."""
 
     writes: bool
     shape: str
 
     @property
     def shared_name(self) -> str:
-        """The name on server connections: equal statements share it."""
+        """The name of the statement on server connections, which sessions share."""
         return f"{'w' if self.writes else 'r'}_{self.shape}"
 
 
 @unique
 class ReplyCode(Enum):
-    """How an instance ended one message.
+    """The outcome of one message to an instance.
 
-    BUSY, BEHIND, READ_ONLY and UNKNOWN_STATEMENT say that the statement did not run.
+    BUSY, BEHIND, READ_ONLY and UNKNOWN_STATEMENT mean that the statement did not run.
     """
 
     DONE = "done"
@@ -78,7 +78,7 @@
 
 @unique
 class TransactionState(Enum):
-    """The state of a session or of a server connection."""
+    """The transaction state of a session or of a server connection."""
 
     IDLE = "idle"
     OPEN = "open"
@@ -86,8 +86,10 @@
 
 
 class Reply(Struct, frozen=True):
-    """An instance's whole answer to one message. `position`: the end of its log, None where
-    the answer has none."""
+    """The complete answer of an instance to one message.
+
+    `position` is the end of the instance's log, None if the answer does not contain it.
+    """
 
     code: ReplyCode
     rows: tuple[str, ...] = ()
@@ -104,7 +106,7 @@
 
 @unique
 class MessageKind(Enum):
-    """What a proxy may send to an instance."""
+    """The kinds of messages that a proxy sends to an instance."""
 
     STATEMENT = "statement"
     BEGIN = "begin"
@@ -117,9 +119,9 @@
 
 
 class InstanceMessage(Struct, frozen=True):
-    """One message to an instance. Without `request_id` it is the proxy's own.
+    """One message to an instance; `request_id` is empty for messages that the proxy adds itself.
 
-    `floor` asks the instance to refuse unless its log holds that position.
+    If `floor` is set, the instance refuses the message unless its log has reached that position.
     """
 
     kind: MessageKind
@@ -132,7 +134,7 @@
 
 @unique
 class InstanceRole(Enum):
-    """What an instance is within its group."""
+    """The role of an instance within its group."""
 
     PRIMARY = "primary"
     REPLICA = "replica"
@@ -141,8 +143,9 @@
 class InstanceStatus(Struct, frozen=True):
     """An instance's answer to a status query or a control call.
 
-    `received` is the end of its log. `fence_term` is the term above which it accepts no older
-    primary, zero where it is not fenced. `asked_at` is in seconds of the asker's steady clock.
+    `received` is the end of its log. An instance with a `fence_term` accepts no log from a primary
+    of a lower term; 0 means that it is not fenced. `asked_at` is when the query was sent, in
+    seconds of this proxy's monotonic clock.
     """
 
     instance: str
@@ -155,12 +158,12 @@
 
     @property
     def newest_term(self) -> int:
-        """The highest term that the instance knows of."""
+        """The highest term that the instance knows."""
         return max(self.term, self.fence_term)
 
 
 class CommandResult(Struct, frozen=True):
-    """The answer to one command that succeeded."""
+    """The result of a command that succeeded."""
 
     rows: tuple[str, ...] = ()
     signature: str = ""
--- a/src/orchidwind/promoted/core/configuration.py
+++ b/src/orchidwind/promoted/core/configuration.py
@@ -1,7 +1,7 @@
-"""The configuration of promoted groups: databases as callers name them, and their groups. No I/O.
+"""The configuration of promoted groups: databases, groups, tenants and directory entries. No I/O.
 
-What for: the types of one version of the configuration, and of a directory entry, as the adapter
-decodes them. Owns: nothing. Relies on: `shared/core/tenants`.
+The adapter decodes each version of the configuration, and each entry of the directory, into these
+types.
 """
 
 from __future__ import annotations
@@ -13,17 +13,17 @@
 
 from orchidwind.shared.core.tenants import Tenant
 
-# Seconds for which an open transaction may rest, where the configuration names no other time.
-# It holds a server connection meanwhile.
+# Default for the number of seconds that an open transaction may be idle. It holds a server
+# connection meanwhile.
 DEFAULT_TRANSACTION_IDLE_SECONDS = 30.0
 
 
 @unique
 class ReadConsistency(Enum):
-    """Which commits a read must see.
+    """The commits that a read must see.
 
-    LATEST: all acknowledged ones. BOUNDED: all older than the bound. SESSION: as BOUNDED, and all
-    of the session's own.
+    LATEST: all acknowledged commits. BOUNDED: all commits older than the staleness bound. SESSION:
+    as BOUNDED, and also all commits of the same session.
     """
 
     LATEST = "latest"
@@ -32,7 +32,7 @@
 
 
 class DatabaseRoute(Struct, frozen=True):
-    """A database as callers name it. Times are in seconds; `priority` 0 is the highest."""
+    """A database by its public name. Times are in seconds; `priority` 0 is the highest."""
 
     name: str
     group: str
@@ -44,7 +44,11 @@
 
 
 class PromotedGroupSettings(Struct, frozen=True):
-    """A group: its connection limit over all callers, and how many replicas confirm a commit."""
+    """The settings of a group.
+
+    `maximum_connections` limits the connections of all proxies to each instance.
+    `synchronous_replicas` is the number of replicas that must confirm a commit.
+    """
 
     name: str
     maximum_connections: int
@@ -52,10 +56,10 @@
 
 
 class PromotedConfiguration(Struct, frozen=True):
-    """All databases, groups and tenants of one version. Versions only rise.
+    """All databases, groups and tenants of one version of the configuration; versions increase.
 
-    `tenants` is None where callers need no API key; `public` names the databases that need none
-    where others do.
+    `tenants` is None if callers need no API key. Otherwise `public` names the databases that can be
+    used without one.
     """
 
     version: int
@@ -66,14 +70,15 @@
     public: frozenset[str] = frozenset()
 
     def needs_key(self, database: str) -> bool:
-        """Whether callers of a database need an API key."""
+        """Whether callers need an API key to use a database."""
         return self.tenants is not None and database not in self.public
 
 
 class DirectoryEntry(Struct, frozen=True):
-    """One instance as the directory lists it. `revision` is that of the entry's last change.
+    """The entry of one instance in the directory.
 
-    `instance` names this life of it (`instance_lives`).
+    `instance` identifies this incarnation of the instance (`instance_lives`). `revision` is the
+    revision of the entry's last change.
     """
 
     instance: str
--- a/src/orchidwind/promoted/core/drain_plan.py
+++ b/src/orchidwind/promoted/core/drain_plan.py
@@ -1,49 +1,53 @@
-"""How the sessions of a proxy end at its planned stop. No I/O; times are seconds since it began.
+"""The schedule by which a proxy ends its sessions at a planned shutdown. No I/O.
 
-For: `callers.session_registry`. New sessions are taken for a while: callers are still sent here
-until the platform has seen that this proxy is not ready. Sessions that rest are closed in even
-steps meanwhile, so that they come back elsewhere evenly.
+`callers.session_registry` follows it; times are in seconds since the shutdown began. The proxy
+accepts new sessions for a while, because callers are still sent here until the platform has noticed
+that the proxy is not ready. Meanwhile it closes idle sessions at an even rate, so that they
+reconnect to other proxies at an even rate.
 """
 
 from __future__ import annotations
 
 from msgspec import Struct
 
-# New sessions are taken for so many seconds. The first users' platform sends no caller here
-# some probes after the proxy is no longer ready.
+# Seconds for which new sessions are accepted. The first users' platform stops sending callers here
+# a few readiness probes after the proxy is no longer ready.
 _ACCEPT_SECONDS = 2.6
-# ... and for no more than this share of the time given, where that is short.
+# Maximum share of the grace period for which new sessions are accepted, if the period is short.
 _ACCEPT_SHARE = 0.45
-# From this share of the time on, sessions in a transaction are closed, too. A transaction
-# has half of the time to end.
+# Share of the grace period after which sessions in a transaction are also closed: a transaction has
+# half of the period to end.
 _TRANSACTION_SHARE = 0.5
-# After this share nothing is waited for any more. The rest is for ending links and the lead
-# lease before the process is killed.
+# Share of the grace period after which the remaining sessions are not waited for. The rest is
+# needed to end links and the leadership lease before the process is killed.
 _END_SHARE = 0.85
 
 
 class DrainPlan(Struct, frozen=True):
-    """The stop of a proxy: the time that it has, and the sessions that it had when it began."""
+    """The shutdown of a proxy: its grace period, and its number of sessions at the beginning."""
 
     grace_seconds: float
     sessions: int
 
     def over(self, elapsed: float) -> bool:
-        """Whether nothing is waited for any more."""
+        """Whether the proxy stops waiting for sessions to end."""
         return elapsed >= self.grace_seconds * _END_SHARE
 
     def accepts(self, elapsed: float) -> bool:
-        """Whether new sessions may still come."""
+        """Whether new sessions are still accepted."""
         return elapsed < self._accept_seconds
 
     def may_close(self, elapsed: float, closed: int, present: int) -> int:
-        """How many sessions may be closed now, of which `closed` were before."""
+        """Returns how many sessions may be closed now.
+
+        `closed` sessions were closed before, and `present` sessions are still open.
+        """
         if not self.accepts(elapsed):
             return present
         return int(self.sessions * (elapsed / self._accept_seconds)) - closed
 
     def ends_transactions(self, elapsed: float) -> bool:
-        """Whether sessions in a transaction are closed, too."""
+        """Whether sessions in a transaction are also closed."""
         return elapsed > self.grace_seconds * _TRANSACTION_SHARE
 
     @property
--- a/src/orchidwind/promoted/core/peer_loss.py
+++ b/src/orchidwind/promoted/core/peer_loss.py
@@ -1,7 +1,7 @@
-"""What becomes of a command whose home proxy went away under it. No I/O.
+"""Decides what happens to a command whose home proxy was lost. No I/O.
 
-What for: a proxy that forwards commands must know which may be sent to another home. Owns: nothing.
-Relies on: an instance that rolls a transaction back when the home's connection to it ends.
+A front proxy must know which commands it may send to another home. The rules rely on the instance,
+which rolls a transaction back when the home's connection to it ends.
 """
 
 from __future__ import annotations
@@ -15,11 +15,12 @@
 def after_lost_home(
     session: Session, command: Command, opened: bool, sent: bool
 ) -> RequestError | None:
-    """What the caller is answered; None where the command may be sent to another home.
+    """Returns the error for the caller, or None if the command may be sent to another home.
 
-    `opened`: the transaction was open at that home; `sent`: this command had left.
-    The instance rolls a transaction back when its home is gone, so without a COMMIT on its way
-    nothing of it is kept. A single write that left is not sent again.
+    `opened` tells whether the transaction was open at the lost home, and `sent` whether this
+    command had been sent there. The instance rolls a transaction back when its home is lost, so the
+    transaction can be committed only if its COMMIT had been sent. A single write that had been sent
+    is not sent again.
     """
     if command.kind is CommandKind.COMMIT and sent:
         wrote = session.transaction is not None and session.transaction.wrote
--- a/src/orchidwind/promoted/core/peer_messages.py
+++ b/src/orchidwind/promoted/core/peer_messages.py
@@ -1,8 +1,8 @@
 """The messages between proxies of promoted groups. No I/O.
 
-For: `promoted.peers`. Owns the fields; processes of two versions read one another, so names and
-types stay as in `messages.avsc`. `peers.peer_codec` encodes them, `forwarded_commands` and
-`views.view_forms` fill them and read them. Times are in seconds.
+Proxies of two versions must understand each other, so names and types of the fields stay as in
+`messages.avsc`. `peers.peer_codec` encodes the messages; `forwarded_commands` and
+`views.view_forms` convert them. Times are in seconds.
 """
 
 from __future__ import annotations
@@ -29,18 +29,19 @@
 
 
 class Greeting(msgspec.Struct, frozen=True):
-    """First message of the proxy that opened the link."""
+    """The first message on a link, sent by the proxy that opened it."""
 
     proxy: str
 
 
 class RunCommand(msgspec.Struct, frozen=True):
-    """A command for the home of its group. Times are in seconds.
+    """A command that a front proxy sends to the home proxy of its group.
 
-    `channel` stands for the session on this link. `transaction` is "none", "begins" for the first
-    command that a transaction sends to an instance, or "continues". The rules of the database are
-    those in force at the sender. `remaining` is the time until the command's deadline, `hold` the
-    time for which it may wait unsent. `tenant` is the caller's, empty where it needs no API key.
+    `channel` identifies the session on this link. `transaction` is "none", "begins" for the first
+    command of a transaction that goes to an instance, or "continues". The settings of the database
+    are those that the sender knows. `remaining` is the time until the command's deadline, `hold`
+    the time for which it may wait before it is sent to an instance. `tenant` is the caller's
+    tenant, empty if callers need no API key.
     """
 
     number: int
@@ -66,10 +67,10 @@
 
 
 class CommandAnswer(msgspec.Struct, frozen=True):
-    """How a command ended; `error` is empty for success.
+    """The result of a command; `error` is empty on success.
 
-    `floor` is the position that the session must see from now on. `sent_to` and `attempts` are for
-    the log.
+    `floor` is the log position that later reads of the session must see. `sent_to` and `attempts`
+    are for the log.
     """
 
     number: int
@@ -84,31 +85,35 @@
 
 
 class CloseChannel(msgspec.Struct, frozen=True):
-    """The session has gone, or gave its transaction up: roll back what is open."""
+    """Asks the home proxy to roll back the session's open transaction, if any.
+
+    Sent when the session has ended or has abandoned its transaction.
+    """
 
     channel: int
 
 
 class Probe(msgspec.Struct, frozen=True):
-    """Asks for an `Alive`."""
+    """Asks the other proxy for an `Alive` message."""
 
 
 class Alive(msgspec.Struct, frozen=True):
-    """The proxy runs; `leaving` tells that it takes no new transactions or statements."""
+    """The sender is running; if `leaving`, it accepts no new transactions or statements."""
 
     leaving: bool
 
 
 class LockQuery(msgspec.Struct, frozen=True):
-    """Asks the proxy that reads the promotion lock for others."""
+    """Asks a proxy that reads the promotion lock for others for the state of the lock."""
 
     number: int
 
 
 class LockReport(msgspec.Struct, frozen=True):
-    """The lock's revision and whether it was free, by a read sent `age` seconds before this.
+    """The lock's revision and whether it was free, from a read of the store.
 
-    Without `known` the store did not answer.
+    The read was sent `age` seconds before this message. `known` is false if the store did not
+    answer.
     """
 
     number: int
@@ -119,9 +124,9 @@
 
 
 class ViewQuery(msgspec.Struct, frozen=True):
-    """Asks for what is later than a revision in the view named `view`; -1 asks for all.
+    """Asks for the view named `view` if it has changed after a revision; -1 asks in any case.
 
-    With `whole` the content is wanted however long it is, as the store does not serve the asker.
+    `whole` asks for the content whatever its size, because the store does not serve the sender.
     """
 
     number: int
@@ -131,7 +136,7 @@
 
 
 class ConfigurationView(msgspec.Struct, frozen=True):
-    """A configuration, whole. `tenants` is None where callers need no API key."""
+    """A complete configuration; `tenants` is None if callers need no API key."""
 
     version: int
     databases: tuple[DatabaseRoute, ...]
@@ -142,19 +147,19 @@
 
 
 class DirectoryView(msgspec.Struct, frozen=True):
-    """A directory, whole."""
+    """A complete directory."""
 
     entries: tuple[DirectoryEntry, ...]
 
 
 class MembersView(msgspec.Struct, frozen=True):
-    """All proxies."""
+    """The complete list of proxies."""
 
     proxies: tuple[ProxyMember, ...]
 
 
 class QuotaSharesView(msgspec.Struct, frozen=True):
-    """Who holds shares of the tenants' quotas; `revision` is that of the object."""
+    """The proxies that hold shares of the tenants' quotas, at a revision of the stored object."""
 
     holders: tuple[str, ...]
     following: tuple[str, ...]
@@ -162,7 +167,7 @@
 
 
 class TokenQuery(msgspec.Struct, frozen=True):
-    """Asks for tokens of a tenant's quota, parts of one too."""
+    """Asks for tokens of a tenant's quota; fractions of a token are allowed."""
 
     number: int
     tenant: str
@@ -170,17 +175,18 @@
 
 
 class TokenGrant(msgspec.Struct, frozen=True):
-    """Tokens that the asker may use at once; the sender has them no longer."""
+    """Tokens that the receiver may use at once; the sender has given them up."""
 
     number: int
     granted: float
 
 
 class ViewReport(msgspec.Struct, frozen=True):
-    """A proxy's view, which was known to be current `age` seconds before this, as of `revision`.
+    """The state of a proxy's view, which was known to be current `age` seconds before this message.
 
-    Without `known` the proxy does not follow that view. One of the views is given where it changed
-    after the revision asked for; with `omitted` it did, and is too long to be sent unasked.
+    `known` is false if the proxy does not follow the view. The message contains the view if it has
+    changed after the revision in the query; `omitted` is set if it has changed but is too large to
+    be sent without `whole`.
     """
 
     number: int
--- a/src/orchidwind/promoted/core/quota_shares.py
+++ b/src/orchidwind/promoted/core/quota_shares.py
@@ -1,17 +1,19 @@
-"""Which proxies hold a share of the tenants' quotas, and how that changes. No I/O, no clock.
+"""The shares of the tenants' quotas that proxies hold, and how the set of holders changes. No I/O.
 
-One object in the store names the holders; each has the same share of every quota, so that whoever
-is cut off from the others can serve some of each. While the holders change, the object also names
-those that follow: meanwhile a proxy that is among both has the smaller of its two shares, and the
-others have none. Whoever acts on the object has heard of it less than `quota.SHARE_VALID_SECONDS`
-ago, so once it has named both for `SETTLE_SECONDS`, nobody fills buckets by the larger shares of
-before, and those that follow take their place. So the shares in force add up to one at most,
-whatever each proxy has heard, and however late.
+One object in the store names the holders. Each holder has the same share of every quota, so that a
+proxy that is cut off from the others can still serve part of each quota. While the set of holders
+changes, the object also names the next holders: a proxy in both sets then has the smaller of its
+two shares, and all others have none. A proxy uses its share only while its knowledge of the object
+is younger than `quota.SHARE_VALID_SECONDS`. Once the object has named both sets for
+`SETTLE_SECONDS`, no proxy fills its buckets by a larger, older share any more, and the next holders
+replace the current ones. The shares in use therefore add up to at most one, whatever each proxy
+knows and however late it learns it.
 
-A proxy that starts anew under its name holds its share again at once: its life before is over.
+A proxy that restarts under the same name holds its share again at once, because its previous
+process has ended.
 
-Owns: nothing. Relies on: a store that changes the object by compare-and-put, and on every user of a
-share for how long ago it was confirmed.
+The rules rely on a store that changes the object by compare-and-put, and on proxies that track how
+long ago their share was confirmed.
 """
 
 from __future__ import annotations
@@ -22,13 +24,13 @@
 
 from orchidwind.promoted.core.store_revision import StoreRevision
 
-# After so many seconds everybody who uses a share has heard of a change. Longer than
-# `quota.SHARE_VALID_SECONDS` by the drift of two clocks and the way of an answer.
+# Seconds after which every proxy that uses a share knows of a change. Longer than
+# `quota.SHARE_VALID_SECONDS` by the drift between two clocks and the latency of an answer.
 SETTLE_SECONDS = 10.2
 
 
 class QuotaShares(Struct, frozen=True):
-    """The holders by name, and those that follow them while they change; both sorted."""
+    """The holders by name and, during a change, the next holders in `following`; both sorted."""
 
     holders: tuple[str, ...] = ()
     following: tuple[str, ...] = ()
@@ -36,18 +38,22 @@
 
     @property
     def exists(self) -> bool:
-        """Whether the store holds it."""
+        """Whether the object exists in the store."""
         return self.revision.in_era > 0
 
     def share_of(self, proxy: str) -> float:
-        """Which share of each quota a proxy holds, 0 to 1."""
+        """Returns the share of each quota that a proxy holds, from 0 to 1."""
         if proxy not in self.holders or (self.following and proxy not in self.following):
             return 0.0
         return 1.0 / max(len(self.holders), len(self.following))
 
 
 def next_shares(held: QuotaShares, wanted: Collection[str], known_for: float) -> QuotaShares | None:
-    """What is to be written over `held`, which is known for so many seconds; None: nothing."""
+    """Returns the object to write in place of `held`, or None if nothing is to be written.
+
+    `wanted` names the proxies that should hold shares; `held` has been known for `known_for`
+    seconds.
+    """
     if held.following:
         if known_for < SETTLE_SECONDS:
             return None
--- a/src/orchidwind/promoted/core/steps.py
+++ b/src/orchidwind/promoted/core/steps.py
@@ -1,7 +1,7 @@
-"""The steps that a flow on a promoted group asks its driver for. No I/O.
+"""The steps that a flow on a promoted group requests from its driver. No I/O.
 
-What for: flows stay free of I/O and clocks; a driver carries out each step, sends its result into
-the flow, or throws RequestError or BackendConnectionLost in. Owns and relies on: nothing.
+Flows use no I/O and no clock. A driver executes each step and sends its result into the flow, or
+throws RequestError or BackendConnectionLost into it.
 """
 
 from __future__ import annotations
@@ -19,8 +19,8 @@
 class WaitForPrimary(Struct, frozen=True):
     """Wait for a primary; the result is a PrimaryView.
 
-    `lead_proof`: its lead must be proven; `commit`: it must confirm commits. Where that is known to
-    fail, there is nothing to wait for.
+    `lead_proof`: its leadership must be proven. `commit`: it must confirm commits. If this is known
+    to fail, the step fails at once.
     """
 
     lead_proof: bool = False
@@ -37,7 +37,7 @@
 class WaitForConnection(Struct, frozen=True):
     """Wait for a server connection; the result is its number.
 
-    Ends by BackendConnectionLost where the instance does not answer.
+    Raises BackendConnectionLost into the flow if the instance does not answer.
     """
 
     instance: str
@@ -46,8 +46,7 @@
 class Exchange(Struct, frozen=True):
     """Send messages in one write; the result is an ExchangeResult.
 
-    `proof_of_term` asks, at the same time, for the proof that no primary after that term has
-    begun.
+    If `proof_of_term` is not 0, the driver also asks for a proof that no later term has begun.
     """
 
     connection: int
@@ -56,27 +55,27 @@
 
 
 class ExchangeResult(Struct, frozen=True):
-    """The replies, and when the instance is proven to have led; None where that is not known."""
+    """The replies, and a time at which the instance is proven to have led, or None."""
 
     replies: tuple[Reply, ...]
     led_at: float | None = None
 
 
 class WaitForProof(Struct, frozen=True):
-    """Ask now for the proof that no primary after `term` has begun; the result is a bool."""
+    """Ask for a proof that no term later than `term` has begun; the result is a bool."""
 
     term: int
 
 
 class Release(Struct, frozen=True):
-    """Give a connection back; done at once."""
+    """Return a connection to the pool, or close it unless `reusable`; never waits."""
 
     connection: int
     reusable: bool
 
 
 class Pause(Struct, frozen=True):
-    """Wait for some seconds, within the request's deadline."""
+    """Wait for some seconds; fails if this would exceed the request's deadline."""
 
     seconds: float
 
--- a/tests/promoted/test_drain_plan.py
+++ b/tests/promoted/test_drain_plan.py
@@ -1,11 +1,11 @@
-"""How the sessions of a proxy end at its planned stop."""
+"""The schedule by which a proxy ends its sessions at a planned shutdown."""
 
 import pytest
 
 from orchidwind.promoted.core.drain_plan import DrainPlan
 
 
-def test_resting_sessions_are_closed_in_even_steps():
+def test_sessions_are_closed_at_an_even_rate():
     plan = DrainPlan(grace_seconds=6.0, sessions=100)
     assert plan.may_close(0.0, closed=0, present=100) == 0
     assert plan.may_close(1.3, closed=0, present=100) == 50
@@ -16,13 +16,13 @@
 
 
 @pytest.mark.parametrize(("grace", "accept"), [(6.0, 2.6), (2.0, 0.9)])
-def test_new_sessions_are_taken_for_a_share_of_a_short_grace(grace, accept):
+def test_new_sessions_are_accepted_for_a_share_of_a_short_grace_period(grace, accept):
     plan = DrainPlan(grace, 10)
     assert plan.accepts(accept - 0.01)
     assert not plan.accepts(accept + 0.01)
 
 
-def test_transactions_have_half_of_the_grace_and_the_end_comes_before_it():
+def test_transactions_have_half_of_the_grace_period_and_waiting_ends_within_it():
     plan = DrainPlan(grace_seconds=6.0, sessions=1)
     assert not plan.ends_transactions(3.0)
     assert plan.ends_transactions(3.01)
