--- a/src/orchidwind/promoted/group/__init__.py
+++ b/src/orchidwind/promoted/group/__init__.py
@@ -1,1 +1,1 @@
-"""Drivers of promoted groups: connections to instances, proofs, changes of primary."""
+"""I/O of promoted groups: connections to instances, leadership proofs, changes of primary."""
--- a/src/orchidwind/promoted/group/commit_guard.py
+++ b/src/orchidwind/promoted/group/commit_guard.py
@@ -1,10 +1,11 @@
-"""Asks the rule for one commit until it may be acknowledged or is known to be left out.
+"""Decides whether a commit may be acknowledged or was lost in a change of primary.
 
-What for: `core/commit_acknowledgement.py` has the rule; this gathers its inputs for one group, asks
-the listed instances for their statuses, and tries again while nothing is proven.
+`core/commit_acknowledgement.py` has the rules. The guard gathers their inputs for one group: it
+asks the listed instances for their statuses, and retries until the rules reach a decision.
 
-Owns: the round of status queries that is under way, shared by all commits that wait for it.
-Relies on: the group's topology and lead prover; a status call that returns None in bounded time.
+The guard owns the current round of status queries, which all waiting commits share. It depends on
+the group's topology and leadership prover, and on a status call that returns in bounded time, None
+if there is no answer.
 """
 
 from __future__ import annotations
@@ -33,14 +34,14 @@
 
 
 class _StatusRound(Struct, frozen=True):
-    """One round of status queries: who has to answer, and what came."""
+    """One round of status queries: the instances that must answer, and the answers."""
 
     must_answer: frozenset[str]
     statuses: tuple[InstanceStatus, ...]
 
 
 class CommitGuard:
-    """Decides for one group when a commit that its primary confirmed may be acknowledged."""
+    """Decides when a commit that the group's primary confirmed may be acknowledged."""
 
     def __init__(
         self,
@@ -54,58 +55,58 @@
         self._loop = asyncio.get_running_loop()
         self._round: SharedQuery[_StatusRound] = SharedQuery(self._ask_listed)
 
-    def lease_acknowledges(self, commit: ConfirmedCommit) -> bool:
-        """Whether the lead lease alone lets a commit be acknowledged at this moment."""
-        return self._verdict_by_lease(commit) is CommitVerdict.ACKNOWLEDGE
+    def lease_allows_acknowledgement(self, commit: ConfirmedCommit) -> bool:
+        """Whether the leadership lease alone permits acknowledging a commit now."""
+        return self._decide_by_lease(commit) is CommitVerdict.ACKNOWLEDGE
 
     async def may_acknowledge(
         self, commit: ConfirmedCommit, on_unproven: Callable[[], None]
     ) -> bool:
-        """Wait until a commit may be acknowledged, False where it is left out.
+        """Wait for a decision: True if a commit may be acknowledged, False if it was lost.
 
-        Ends when it is cancelled where neither is found. `on_unproven` is called after each attempt
-        that proved nothing.
+        Retries until it is cancelled while there is no decision. `on_unproven` is called after each
+        attempt that reached none.
         """
         while True:
-            verdict = self._verdict_without_asking(commit)
-            if verdict is CommitVerdict.NOT_PROVEN:
-                verdict = await self._verdict_by_replicas(commit)
-            if verdict is not CommitVerdict.NOT_PROVEN:
-                return verdict is CommitVerdict.ACKNOWLEDGE
+            decision = self._decide_without_asking(commit)
+            if decision is CommitVerdict.NOT_PROVEN:
+                decision = await self._decide_by_replicas(commit)
+            if decision is not CommitVerdict.NOT_PROVEN:
+                return decision is CommitVerdict.ACKNOWLEDGE
             on_unproven()
             await asyncio.sleep(PROOF_RETRY_SECONDS)
 
-    def _verdict_by_lease(self, commit: ConfirmedCommit) -> CommitVerdict:
-        self._prover.want_lease()
+    def _decide_by_lease(self, commit: ConfirmedCommit) -> CommitVerdict:
+        self._prover.request_lease()
         term = self._topology.primary_term(commit.primary)
         lease = self._prover.evidence(commit.primary, term, self._loop.time())
         return verdict_by_lease(commit, lease)
 
-    def _verdict_without_asking(self, commit: ConfirmedCommit) -> CommitVerdict:
-        verdict = self._verdict_by_lease(commit)
-        if verdict is not CommitVerdict.NOT_PROVEN:
-            return verdict
+    def _decide_without_asking(self, commit: ConfirmedCommit) -> CommitVerdict:
+        decision = self._decide_by_lease(commit)
+        if decision is not CommitVerdict.NOT_PROVEN:
+            return decision
         last = self._topology.last_promotion
         led_term = self._topology.primary_term(last.instance) if last is not None else 0
         return verdict_by_successor(commit, last, led_term)
 
-    async def _verdict_by_replicas(self, commit: ConfirmedCommit) -> CommitVerdict:
+    async def _decide_by_replicas(self, commit: ConfirmedCommit) -> CommitVerdict:
         lock_revision = self._prover.lock_revision
         query = self._round.join()
         await asyncio.wait({query})
-        if query.cancelled():  # this proxy closes its groups
+        if query.cancelled():  # the group is being closed
             return CommitVerdict.NOT_PROVEN
-        lease = self._lease_for(commit)
-        verdict = verdict_by_replicas(commit, lease, self._evidence(query.result()))
-        if verdict is CommitVerdict.ACKNOWLEDGE:
-            self._prover.proven_under(commit.primary, lock_revision)
-        return verdict
-
-    def _lease_for(self, commit: ConfirmedCommit) -> LeaseEvidence:
-        """What the lease says now of the primary in the commit's own term."""
+        lease = self._lease_evidence(commit)
+        decision = verdict_by_replicas(commit, lease, self._replica_evidence(query.result()))
+        if decision is CommitVerdict.ACKNOWLEDGE:
+            self._prover.note_proven(commit.primary, lock_revision)
+        return decision
+
+    def _lease_evidence(self, commit: ConfirmedCommit) -> LeaseEvidence:
+        """The lease's evidence now for the primary in the commit's own term."""
         return self._prover.evidence(commit.primary, commit.position.term, self._loop.time())
 
-    def _evidence(self, answered: _StatusRound) -> ReplicaEvidence:
+    def _replica_evidence(self, answered: _StatusRound) -> ReplicaEvidence:
         views = self._topology.instances.items()
         return ReplicaEvidence(
             answered.statuses,
@@ -115,18 +116,20 @@
         )
 
     async def _ask_listed(self) -> _StatusRound:
-        """The statuses of the listed instances but the primary, if they answer."""
+        """Ask the listed instances, except the primary, for their statuses."""
         primary = self._topology.primary(self._loop.time())
-        led = primary.instance if primary is not None else ""
+        primary_name = primary.instance if primary is not None else ""
         views = {name: view for name, view in self._topology.instances.items() if view.listed}
-        required = must_answer(views, led, self._topology.last_promotion)
+        required = must_answer(views, primary_name, self._topology.last_promotion)
         unreachable = frozenset(
             name for name, view in views.items() if view.unreachable_since is not None
         )
-        asked = worth_asking(views, led, required, unreachable, self._prover.covered_now())
+        asked = worth_asking(
+            views, primary_name, required, unreachable, self._prover.lease_covers_now()
+        )
         answers = await asyncio.gather(*(self._ask(name) for name in sorted(asked)))
         return _StatusRound(required, tuple(item for item in answers if item is not None))
 
     def close(self) -> None:
-        """Give up what is under way."""
+        """Cancel the pending queries."""
         self._round.close()
--- a/src/orchidwind/promoted/group/connection_records.py
+++ b/src/orchidwind/promoted/group/connection_records.py
@@ -1,8 +1,8 @@
-"""What is known of each open server connection of one group.
+"""Records of the open server connections of one group.
 
-Owns: links, whose they are, what runs on them and when each last delivered something. Connections
-have numbers that are never used twice. Times are in seconds of the loop's clock. Whether a
-connection is idle or held is the pools' matter (`connections`).
+For each connection: its link, its instance, the start of a running exchange, and when it last
+delivered data. Connections have numbers that are never reused. Times are in seconds of the loop's
+clock. The pools (`connections`) track whether a connection is idle or held.
 """
 
 from __future__ import annotations
@@ -15,32 +15,32 @@
 
 
 class ConnectionAges(Struct, frozen=True):
-    """For how many seconds a connection has been open and silent, None where unknown."""
+    """Seconds for which a connection has been open and silent; None if unknown."""
 
     opened_for: float | None = None
     silent_for: float | None = None
 
 
 class ConnectionRecords:
-    """The connections by number, in the order of their opening."""
+    """The connections by number, in the order in which they were opened."""
 
     def __init__(self) -> None:
         self.links: dict[int, InstanceLink] = {}
         self.instance_of: dict[int, str] = {}
-        # In the order of their start; an exchange may outlast its connection.
+        # In the order of their start. An exchange may outlast its connection.
         self.exchange_began_at: dict[int, float] = {}
         self._opened_at: dict[int, float] = {}
         self._delivered_at: dict[int, float] = {}
         self._loop = asyncio.get_running_loop()
 
     def opened(self, connection: int, instance: str, link: InstanceLink) -> None:
-        """A connection is open."""
+        """Add a connection that was opened."""
         self.links[connection] = link
         self.instance_of[connection] = instance
         self._delivered_at[connection] = self._opened_at[connection] = self._loop.time()
 
     def close(self, connection: int) -> None:
-        """Close a connection and forget it."""
+        """Close a connection and remove its records."""
         link = self.links.pop(connection, None)
         self.instance_of.pop(connection, None)
         self._delivered_at.pop(connection, None)
@@ -49,16 +49,16 @@
             link.close()
 
     def note_delivered(self, connection: int) -> None:
-        """An instance delivered something on a connection."""
+        """Record that an instance delivered data on a connection."""
         if connection in self.links:
             self._delivered_at[connection] = self._loop.time()
 
     def silent_since(self, connection: int, since: float) -> bool:
-        """Whether a connection has delivered nothing since a time, as far as is known."""
+        """Whether a connection, as far as recorded, has delivered nothing since a time."""
         return self._delivered_at.get(connection, since) <= since
 
     def ages(self, connection: int | None) -> ConnectionAges:
-        """The ages of a connection; both unknown where there is none."""
+        """The ages of a connection; both None without a connection."""
         if connection is None:
             return ConnectionAges()
         return ConnectionAges(
@@ -71,5 +71,5 @@
 
     @property
     def connected_instances(self) -> set[str]:
-        """Instances to which a connection is open."""
+        """Instances with at least one open connection."""
         return set(self.instance_of.values())
--- a/src/orchidwind/promoted/group/connections.py
+++ b/src/orchidwind/promoted/group/connections.py
@@ -1,7 +1,7 @@
 """The server connections of one promoted group, and the requests that wait for one.
 
-What for: it is what requests, checks for silence and upkeep ask for connections. Owns no state of
-its own: the pools decide (`shared/core/pool`), and `pool_driver` carries out what they decide.
+This is the interface to the connections for requests, silence checks and upkeep. It has no state of
+its own: the pools decide (`shared/core/pool`), and `pool_driver` carries out their decisions.
 """
 
 from __future__ import annotations
@@ -24,7 +24,8 @@
 class ConnectionWait(Struct, frozen=True):
     """How a request waits for a server connection.
 
-    Until `deadline`; after `target_at` its answer is late; the connection is one of `tenant`.
+    The wait ends at `deadline`; an answer after `target_at` is late. The connection belongs to
+    `tenant`. Times are in seconds of the loop's clock.
     """
 
     traffic_class: TrafficClass
@@ -34,9 +35,10 @@
 
 
 class GroupConnections:
-    """`on_suspect` gets instances whose connections broke, `on_unreachable` those without answer.
+    """The connections of one group. Times are in seconds of the loop's clock.
 
-    Times are in seconds of the loop's clock.
+    `on_suspect` is called with an instance whose connection broke, `on_unreachable` with one to
+    which no connection can be opened.
     """
 
     def __init__(
@@ -56,7 +58,10 @@
     # --- requests -----------------------------------------------------------------------------
 
     async def acquire(self, instance: str, wait: ConnectionWait) -> int:
-        """Wait for a server connection; raises RequestError, BackendConnectionLost."""
+        """Wait for a server connection; returns its number.
+
+        Raises RequestError, BackendConnectionLost.
+        """
         if self.opener.closed:
             raise RequestError(ErrorKind.PROXY_STOPPING, "this proxy has stopped")
         pool = self.pools.of(instance)
@@ -73,13 +78,13 @@
         )
         try:
             if not waiting.granted.done():
-                self._driver.settle_later(pool)
+                self._driver.schedule_tick(pool)
             async with asyncio.timeout_at(wait.deadline):
                 return await waiting.granted
         except TimeoutError as error:
             pool.cancel(waiting.ticket)
             raise RequestError(
-                ErrorKind.DEADLINE_PASSED, f"no connection to {instance} was free in time"
+                ErrorKind.DEADLINE_PASSED, f"no connection to {instance} became free in time"
             ) from error
         finally:
             self._waiting.remove(waiting.ticket)
@@ -87,18 +92,21 @@
                 pool.cancel(waiting.ticket)
 
     def release(self, connection: int, reusable: bool) -> None:
-        """Give a connection back."""
+        """Return a connection to its pool."""
         self._driver.release(connection, reusable)
 
     def exchange_began(self, connection: int) -> None:
-        """Messages are sent on a connection."""
+        """Record that an exchange starts on a connection."""
         self.records.exchange_began_at[connection] = self._loop.time()
         pool = self._driver.pool_of(connection)
         if pool is not None:
             pool.exchange_began(connection, self._loop.time())
 
     def exchange_ended(self, connection: int, rejected: bool | None) -> None:
-        """They were answered, `rejected` where the instance had no room; None: they were not."""
+        """Record that an exchange ended.
+
+        `rejected` says whether the instance rejected it as busy; None if there was no answer.
+        """
         began = self.records.exchange_began_at.pop(connection)
         if rejected is not None:
             self.records.note_delivered(connection)
@@ -108,25 +116,25 @@
             self._driver.perform(pool.exchange_ended(connection, now - began, rejected, now))
 
     def expected_answer(self, instance: str) -> float:
-        """Seconds until an instance would answer one more request."""
+        """Expected seconds until an instance would answer another request."""
         return self.pools.of(instance).expected_answer(self._loop.time())
 
-    # --- the proxy's own use ------------------------------------------------------------------
+    # --- status queries and silence checks ----------------------------------------------------
 
     def borrow_idle(self, instance: str) -> int | None:
-        """Take an idle connection, None where there is none."""
+        """Take an idle connection from its pool; None if there is none."""
         return self.pools.of(instance).borrow_idle(self._loop.time())
 
     def borrow_idle_silent(self, instance: str, since: float) -> list[int]:
-        """Take the idle connections that have delivered nothing since a time."""
+        """Take the idle connections that have delivered nothing since a time from their pool."""
         pool = self.pools.of(instance)
         silent = [item for item in pool.idle if self.records.silent_since(item, since)]
         return [item for item in silent if pool.take_idle(item, self._loop.time())]
 
     def resting_silent(self, instance: str, since: float) -> list[int]:
-        """Connections that requests hold, with nothing running, silent since a time.
+        """Held connections at rest (no exchange runs) that have delivered nothing since a time.
 
-        Those of transactions whose callers think, mostly.
+        Most belong to open transactions whose callers have not sent their next statement.
         """
         pool = self.pools.known(instance)
         held = pool.busy if pool is not None else {}
@@ -138,11 +146,11 @@
         ]
 
     def close_resting(self, connection: int) -> None:
-        """Close a connection that a request may hold, but on which nothing runs."""
+        """Close a connection that a request may hold but on which no exchange runs."""
         self._driver.close_resting(connection)
 
     async def open_first(self, instance: str) -> None:
-        """Open a connection to an instance where there is none, and wait for it.
+        """Open a connection to an instance that has none, and wait for it.
 
         Raises BackendRefused, BackendConnectionLost.
         """
@@ -150,19 +158,19 @@
 
     @property
     def starved(self) -> bool:
-        """Whether an instance had no room lately, and requests wait here for want of connections.
+        """Whether this proxy lacks connections to an instance that was full recently.
 
-        After the loss of all proxies an instance counts their old connections for some seconds:
-        the first that return take what is left, and the others have none.
+        After the loss of all proxies an instance still counts their old connections for some
+        seconds: the first proxies that return take the remaining slots, and the others get none.
         """
-        return self.pools.lacks_connections(self.opener.without_room())
+        return self.pools.lacks_connections(self.opener.full_instances())
 
     # --- upkeep -------------------------------------------------------------------------------
 
     def set_shares(self, shares: ConnectionShares, homes: int) -> None:
-        """Hold at most this many connections to each instance, as one of so many homes.
+        """Set the limits of connections to each instance, and the number of homes.
 
-        Fewer connections close idle ones.
+        Idle connections in excess of a lower limit are closed.
         """
         if homes != self._driver.homes:
             self._driver.homes = homes
@@ -177,9 +185,9 @@
                 self._driver.perform(pool.set_share(share, self._loop.time()))
 
     def trim(self) -> None:
-        """Close connections that were not used lately, and what is beyond the share by now.
+        """Close connections that were not used recently or that exceed the current share.
 
-        A primary that was replaced has another share.
+        The share of an instance changes when it becomes or stops being the primary.
         """
         self._apply_shares()
         for pool in self.pools:
@@ -191,13 +199,16 @@
             self._close_idle_of(pool)
 
     def drop_idle(self, instance: str) -> None:
-        """Close idle connections to an instance that does not answer; who waits goes elsewhere."""
+        """Close the idle connections to an unreachable instance and end the waits for it.
+
+        Requests that waited continue at other instances.
+        """
         pool = self.pools.known(instance)
         if pool is None:
             return
         self._close_idle_of(pool)
-        self._waiting.turn_away(pool)
-        self._driver.settle_later(pool)
+        self._waiting.end_waits(pool)
+        self._driver.schedule_tick(pool)
 
     def _close_idle_of(self, pool: InstancePool) -> None:
         for connection in list(pool.idle):
@@ -205,7 +216,7 @@
             self._driver.perform(pool.lost(connection, self._loop.time()))
 
     def forget(self, instance: str) -> None:
-        """An instance left long ago."""
+        """Drop the state of an instance that left long ago."""
         self.drop_idle(instance)
         self.pools.forget(instance)
         self.opener.forget(instance)
--- a/src/orchidwind/promoted/group/exchanges.py
+++ b/src/orchidwind/promoted/group/exchanges.py
@@ -1,9 +1,8 @@
 """Exchanges of messages with the instances of one group.
 
-Owns: the way of one exchange: it is sent, together with the proof of the lead that it relies on;
-a commit is held back until it may be acknowledged. Relies on `OutstandingWrites` and `OwedAnswers`
-to notice those that stay without an answer, and on `LeadProver` and `HeldCommits` for the
-proofs.
+An exchange is sent together with the leadership proof that it depends on, and a commit is held back
+until it may be acknowledged. `OutstandingWrites` and `OverdueAnswers` detect exchanges that are not
+answered; `LeadershipProver` and `HeldCommits` provide the proofs.
 """
 
 from __future__ import annotations
@@ -23,22 +22,22 @@
 from orchidwind.promoted.group.held_commits import HeldCommits
 from orchidwind.promoted.group.lead_prover import LeadProver, StatusTask
 from orchidwind.promoted.group.outstanding_writes import OutstandingWrites
-from orchidwind.promoted.group.owed_answers import OwedAnswers
+from orchidwind.promoted.group.overdue_answers import OverdueAnswers
 from orchidwind.promoted.metrics import ProxyMetrics
 from orchidwind.promoted.ports import InstanceLink
 from orchidwind.shared.core.errors import BackendConnectionLost
 
 
 class ExchangeParts(Struct, frozen=True):
-    """What the exchanges of one group rely on.
+    """Components that the exchanges of one group use.
 
-    `on_unproven` is called where a proof of the lead failed: the primary may have been replaced.
+    `on_unproven` is called after a failed proof of leadership: the primary may have been replaced.
     """
 
     topology: GroupTopology
     connections: GroupConnections
     writes: OutstandingWrites
-    owed: OwedAnswers
+    overdue: OverdueAnswers
     prover: LeadProver
     commits: HeldCommits
     breakers: GroupBreakers
@@ -47,7 +46,7 @@
 
 
 class _SentExchange(Struct, frozen=True):
-    """An exchange as it is sent; `sent_at` is in seconds of the loop's clock."""
+    """An exchange that was sent to an instance; `sent_at` is in seconds of the loop's clock."""
 
     step: Exchange
     instance: str
@@ -55,10 +54,10 @@
     writes: bool
 
 
-class _ProofUnderWay(Struct, frozen=True):
-    """What an exchange relies on for the lead: the lease, a query of a replica, or neither.
+class _PendingProof(Struct, frozen=True):
+    """The leadership proof of an exchange: the lease, a query of a replica, or neither.
 
-    `lock_revision` is the promotion lock's when the query was asked for.
+    `lock_revision` is the promotion lock's revision when the query was requested.
     """
 
     leased: bool
@@ -67,13 +66,13 @@
 
 
 class Exchanges:
-    """Runs the exchanges. Times are in seconds of the loop's clock."""
+    """Runs the exchanges of one group. Times are in seconds of the loop's clock."""
 
     def __init__(self, parts: ExchangeParts) -> None:
         self._topology = parts.topology
         self._connections = parts.connections
         self._writes = parts.writes
-        self._owed = parts.owed
+        self._overdue = parts.overdue
         self._prover = parts.prover
         self._commits = parts.commits
         self._breakers = parts.breakers
@@ -82,9 +81,9 @@
         self._loop = asyncio.get_running_loop()
 
     async def run(self, step: Exchange, writes: bool, arrived_at: float) -> ExchangeResult:
-        """Send messages and wait for the replies; raises BackendConnectionLost.
+        """Send messages and wait for the replies. Raises BackendConnectionLost.
 
-        `writes` tells that a commit may come of it, `arrived_at` when its request arrived.
+        `writes` says whether the exchange may commit, `arrived_at` when its request arrived.
         """
         link = self._connections.records.links.get(step.connection)
         if link is None:
@@ -98,21 +97,21 @@
             await self._acknowledge(sent, replies[-1])
         self._count(sent, replies[-1])
         self._topology.answered(instance, self._loop.time())
-        return ExchangeResult(replies, await self._led_at(sent, proof, arrived_at))
+        return ExchangeResult(replies, await self._proven_at(sent, proof, arrived_at))
 
     def _begin(self, sent: _SentExchange) -> None:
         self._connections.exchange_began(sent.step.connection)
-        self._owed.watch()
+        self._overdue.watch()
         if sent.writes:
             self._writes.began(sent.step.connection)
-            self._prover.want_lease()
+            self._prover.request_lease()
 
-    def _begin_proof(self, sent: _SentExchange, arrived_at: float) -> _ProofUnderWay:
-        """Ask for the proof beside the exchange, so that it takes no time of its own."""
+    def _begin_proof(self, sent: _SentExchange, arrived_at: float) -> _PendingProof:
+        """Start the proof in parallel with the exchange, so that it adds no latency."""
         wanted = sent.step.proof_of_term > 0
-        leased = wanted and self._prover.leased(sent.instance, arrived_at)
+        leased = wanted and self._prover.lease_proves(sent.instance, arrived_at)
         query = self._prover.join() if wanted and not leased else None
-        return _ProofUnderWay(leased, query, self._prover.lock_revision)
+        return _PendingProof(leased, query, self._prover.lock_revision)
 
     async def _send(self, link: InstanceLink, sent: _SentExchange) -> tuple[Reply, ...]:
         for message in sent.step.messages:
@@ -123,7 +122,7 @@
             rejected = replies[-1].code is ReplyCode.BUSY
             return replies
         except BackendConnectionLost:
-            self._owed.connection_broke(sent.instance)
+            self._overdue.connection_broke(sent.instance)
             raise
         finally:
             self._end(sent, rejected)
@@ -142,13 +141,13 @@
 
     def _count(self, sent: _SentExchange, reply: Reply) -> None:
         leads = self._topology.primary_term(sent.instance) > 0
-        kind = _counted_as(sent.step, sent.step.messages[-1], sent.writes)
+        kind = _metric_kind(sent.step, sent.step.messages[-1], sent.writes)
         self._metrics.attempt(kind, "primary" if leads else "replica", reply.code.value)
 
-    async def _led_at(
-        self, sent: _SentExchange, proof: _ProofUnderWay, arrived_at: float
+    async def _proven_at(
+        self, sent: _SentExchange, proof: _PendingProof, arrived_at: float
     ) -> float | None:
-        """When the instance is proven to have led; None where that is not known."""
+        """The time at which the instance is proven to have been primary; None without a proof."""
         if proof.leased:
             self._breakers.succeeded(Dependency.LEAD_PROOF)
             return arrived_at
@@ -156,11 +155,11 @@
             return None
         if not await self.proves(proof.query, sent.step.proof_of_term, sent.sent_at):
             return None
-        self._prover.proven_under(sent.instance, proof.lock_revision)
+        self._prover.note_proven(sent.instance, proof.lock_revision)
         return sent.sent_at
 
     async def proves(self, query: StatusTask, term: int, since: float) -> bool:
-        """Whether a query, asked for at a time, shows that nobody leads in a later term."""
+        """Whether a query, requested at `since`, shows that no later term has begun."""
         proven = await self._prover.proves(query, term)
         if proven:
             self._breakers.succeeded(Dependency.LEAD_PROOF)
@@ -170,7 +169,7 @@
         return proven
 
 
-def _counted_as(step: Exchange, asked: InstanceMessage, writes: bool) -> str:
+def _metric_kind(step: Exchange, asked: InstanceMessage, writes: bool) -> str:
     if asked.kind in (MessageKind.BEGIN, MessageKind.BEGIN_READ_ONLY):
         return "begin"
     if writes:
--- a/src/orchidwind/promoted/group/failover_runner.py
+++ b/src/orchidwind/promoted/group/failover_runner.py
@@ -1,11 +1,11 @@
 """Carries out the steps of a change of primary: the lock in the store, calls to the instances.
 
-What for: `core/failover.py` has the order of the steps; this makes each call, logs what came back,
-and throws LockLost into the flow where the lock's time has passed.
+`core/failover.py` defines the order of the steps. This module makes each call, logs its result,
+and throws LockLost into the flow once the promotion lock has expired.
 
-Owns: the lock that one change of primary holds, and whether its promotion is settled. Relies on:
-the group's calls to instances, the promotion service, the lease keeper and the roster keeper, all
-of which end in bounded time.
+The runner owns the lock held for one change of primary, and knows whether the outcome of its
+promotion is certain. It depends on the group's calls to instances, the promotion service, the lease
+keeper and the roster keeper, all of which return in bounded time.
 """
 
 from __future__ import annotations
@@ -50,7 +50,7 @@
 
 
 class FailoverRunner:
-    """Drives one change of primary."""
+    """Runs one change of primary."""
 
     def __init__(
         self,
@@ -61,23 +61,23 @@
         rosters: RosterKeeper,
         read_members: Callable[[], Awaitable[FailoverPlan | None]],
     ) -> None:
-        """`read_members` plans anew from views read anew; None where the store is silent."""
+        """`read_members` plans again from refreshed views; None if the store does not answer."""
         self._rosters = rosters
         self._read_members = read_members
         self._leases = leases
-        self._taken_at = 0.0
-        self._promoted = ""
+        self._lock_taken_at = 0.0
+        self._promotion_target = ""
         self._group = group
         self._lock = lock
         self._service = service
         self._held: HeldLock | None = None
-        # A promotion that has not been seen to take effect may do so yet: the lock is not given
-        # back then, so that nobody relies on the old primary, and the next holder waits.
-        self._unsettled = False
+        # A promotion that was sent but not yet observed may still take effect. The lock is kept
+        # in that case, so that no proxy relies on the old primary and the next holder waits.
+        self._promotion_uncertain = False
         self._loop = asyncio.get_running_loop()
 
     async def run(self, plan: FailoverPlan) -> FailoverResult:
-        """Change the primary by a plan."""
+        """Change the primary as planned and return the outcome."""
         async with self._lock.in_use:
             return await drive(
                 change_primary(plan), lambda step: self._perform(step, plan), thrown_in=(LockLost,)
@@ -87,7 +87,7 @@
         if isinstance(step, TakeLock):
             return await self._take_lock(plan)
         if isinstance(step, ReleaseLock):
-            if self._held is not None and not self._unsettled:
+            if self._held is not None and not self._promotion_uncertain:
                 await self._lock.release(self._held)
             return None
         if isinstance(step, ReportChoice):
@@ -95,14 +95,14 @@
             return None
         if isinstance(step, AskAll):
             return await self._call_instances(step)
-        self._remaining()
+        self._lock_seconds_left()
         if isinstance(step, Wait):
             await asyncio.sleep(step.seconds)
             return None
         if isinstance(step, AwaitRevocation):
             assert self._held is not None
             token = self._held.token
-            return await self._leases.wait_for_others(plan.group, token, self._taken_at)
+            return await self._leases.wait_for_others(plan.group, token, self._lock_taken_at)
         if isinstance(step, ReadMembers):
             return await self._read_members()
         if isinstance(step, RecordPromotion):
@@ -113,7 +113,7 @@
 
     async def _take_lock(self, plan: FailoverPlan) -> bool:
         self._held = await self._lock.take()
-        self._taken_at = self._loop.time()
+        self._lock_taken_at = self._loop.time()
         log_event(
             "promotion_lock",
             group=plan.group,
@@ -129,21 +129,21 @@
         )
         return await self._rosters.record_promotion(plan.group, record)
 
-    def _remaining(self) -> float:
-        """Seconds for which the lock is surely held; raises LockLost where there are none."""
+    def _lock_seconds_left(self) -> float:
+        """Seconds for which the lock is certainly held; raises LockLost if it no longer is."""
         seconds = self._lock.usable_seconds(self._held)
         if seconds is None:
-            raise LockLost("the promotion lock's time, or its era of the store, has passed")
+            raise LockLost("the promotion lock has expired or belongs to an earlier store era")
         return seconds
 
     async def _promote(self, step: Promote, plan: FailoverPlan) -> FailoverStepResult:
-        seconds = self._remaining()
+        seconds = self._lock_seconds_left()
         assert self._held is not None
         token = self._held.token
         answer = await self._service.promote(plan.group, step.instance, int(token), seconds)
         self._lock.note_called(token)
-        self._unsettled = answer is not PromotionAnswer.REFUSED
-        self._promoted = step.instance
+        self._promotion_uncertain = answer is not PromotionAnswer.REFUSED
+        self._promotion_target = step.instance
         log_event(
             "promotion_sent",
             group=plan.group,
@@ -158,29 +158,29 @@
     async def _call_instances(self, step: InstanceStep) -> Statuses:
         statuses = await self._statuses(step)
         _log_statuses(step, statuses)
-        promoted = statuses.get(self._promoted)
+        promoted = statuses.get(self._promotion_target)
         if promoted is not None and promoted.role is InstanceRole.PRIMARY:
-            self._unsettled = False
+            self._promotion_uncertain = False
         return statuses
 
     async def _statuses(self, step: InstanceStep) -> Statuses:
         if isinstance(step, AskAll):
-            return await self._all(step.instances, lambda link: link.status())
+            return await self._call_all(step.instances, lambda link: link.status())
         if isinstance(step, FenceAll):
             term = step.term
-            return await self._all(step.instances, lambda link: link.fence(term))
+            return await self._call_all(step.instances, lambda link: link.fence(term))
         if isinstance(step, UnfenceAll):
-            return await self._all(step.instances, lambda link: link.unfence())
+            return await self._call_all(step.instances, lambda link: link.unfence())
         term = step.term
-        return await self._all((step.instance,), lambda link: link.demote(term))
+        return await self._call_all((step.instance,), lambda link: link.demote(term))
 
-    async def _all(
+    async def _call_all(
         self,
         instances: tuple[str, ...],
         call: Callable[[InstanceLink], Coroutine[Any, Any, InstanceStatus]],
     ) -> Statuses:
         answers = await asyncio.gather(
-            *(self._group.ask(name, call, hurried=True) for name in instances)
+            *(self._group.ask(name, call, urgent=True) for name in instances)
         )
         return {item.instance: item for item in answers if item is not None}
 
--- a/src/orchidwind/promoted/group/group_breakers.py
+++ b/src/orchidwind/promoted/group/group_breakers.py
@@ -1,7 +1,7 @@
-"""Refuses requests of one group at once where what they rely on is known to fail here.
+"""Circuit breakers of one group: refuse requests at once if a dependency is known to fail.
 
-Owns: the clock and the log lines of `core/circuit_breaker`, which has the rule and its times: one
-line when a dependency begins to be refused, one when it is found again.
+`core/circuit_breaker` has the rules and their times. This module supplies the clock, and logs one
+line when a dependency's breaker opens and one when it closes again.
 """
 
 from __future__ import annotations
@@ -18,9 +18,9 @@
 
 
 class GroupBreakers:
-    """The `check_` methods raise RequestError, the others report what was seen.
+    """The breakers of one group. Times are in seconds of the running loop's clock.
 
-    Times are in seconds of the running loop's clock.
+    The `check_` methods raise RequestError if a breaker is open; the others record results.
     """
 
     def __init__(self, group: str) -> None:
@@ -31,22 +31,22 @@
         self._loop = asyncio.get_running_loop()
 
     def check_without_instance(self, kind: ErrorKind) -> None:
-        """A request finds no instance at this moment; `kind` is the error of its refusal."""
-        self._raise(self._breakers.refuse_without_instance(kind, self._loop.time()))
+        """Check a request that has no instance now; `kind` is the kind of the error if refused."""
+        self._raise_refusal(self._breakers.refuse_without_instance(kind, self._loop.time()))
 
     def check_unproven_read(self) -> None:
-        """A read goes to the primary with a proof of its lead."""
-        self._raise(self._breakers.refuse_unproven_read(self._loop.time()))
+        """Check a read that is sent to the primary and needs a proof of its leadership."""
+        self._raise_refusal(self._breakers.refuse_unproven_read(self._loop.time()))
 
     def check_at_primary(self, lead_proof: bool, oldest_write: float | None) -> None:
-        """A request goes to the primary, and relies on a proof of its lead or on a commit.
+        """Check a request to the primary that depends on a proof of leadership or on a commit.
 
-        `oldest_write` is given for a commit: how many seconds the oldest write there has waited.
+        `oldest_write` is set for a commit: the seconds that the oldest write there has waited.
         """
         now = self._loop.time()
-        self._raise(self._breakers.refuse_at_primary(lead_proof, oldest_write, now))
+        self._raise_refusal(self._breakers.refuse_at_primary(lead_proof, oldest_write, now))
 
-    def _raise(self, refusal: ImmediateRefusal | None) -> None:
+    def _raise_refusal(self, refusal: ImmediateRefusal | None) -> None:
         if refusal is None:
             return
         if refusal.missing not in self._logged_open:
@@ -60,11 +60,11 @@
         raise RequestError(refusal.kind, refusal.reason)
 
     def failed(self, dependency: Dependency, since: float) -> None:
-        """Something was tried from a time on, and did not succeed."""
+        """Record that an attempt to use a dependency, started at `since`, failed."""
         self._breakers.failed(dependency, since)
 
     def succeeded(self, *dependencies: Dependency) -> None:
-        """They were tried, and succeeded."""
+        """Record that attempts to use these dependencies succeeded."""
         for dependency in dependencies:
             self._breakers.succeeded(dependency, self._loop.time())
             if dependency in self._logged_open:
@@ -72,5 +72,5 @@
                 log_event("circuit_closed", group=self._group, found=dependency.value)
 
     def commit_waited(self, seconds: float) -> None:
-        """A write waits, or has waited, for its acknowledgement for so many seconds."""
+        """Record for how many seconds a write has waited for its confirmation."""
         self._breakers.commit_waited(seconds, self._loop.time())
--- a/src/orchidwind/promoted/group/group_service.py
+++ b/src/orchidwind/promoted/group/group_service.py
@@ -1,19 +1,21 @@
-"""One promoted group at one proxy: what binds its parts.
+"""The interface of one promoted group at one proxy, which connects the group's components.
 
-What for: sessions ask it for a primary, an instance, a connection and exchanges; the supervisor
-asks it for suspects and has it ask instances for their status.
+Sessions use it to obtain a primary, an instance or a connection, and to exchange messages. The
+supervisor uses it to list suspect instances and to send status queries.
 
-Owns: the view of the group (`GroupState`), whether this proxy is one of its homes, and the order in
-which the parts learn of a change of the view:
+It owns the view of the group (`GroupState`), whether this proxy is one of its homes, and the order
+in which the components learn of a change of the view:
 
-- `view_changes`: what the directory and the instances report;
-- `waiting_requests`: requests that wait until the view shows where they can run;
-- `group_breakers`: requests that are refused at once;
+- `view_changes`: reports from the directory and the instances;
+- `waiting_requests`: requests that wait until the view shows an instance for them;
+- `group_breakers`: circuit breakers that refuse requests at once;
 - `connections`: server connections and the requests that wait for one;
 - `exchanges`, `outstanding_writes`, `held_commits`: from a message to its reply;
-- `owed_answers`, `silent_connections`, `status_calls`: instances and connections without answer.
+- `overdue_answers`, `silent_connections`, `status_calls`: instances and connections that do not
+  answer.
 
-Relies on the directory and the rosters being passed on, and on a supervisor (`group_supervision`).
+It depends on its caller to pass on the directory and the rosters, and on a supervisor
+(`group_supervision`).
 """
 
 from __future__ import annotations
@@ -41,7 +43,7 @@
 from orchidwind.promoted.group.lead_prover import LeadProver
 from orchidwind.promoted.group.lease_keeper import LeaseKeeper
 from orchidwind.promoted.group.outstanding_writes import OutstandingWrites
-from orchidwind.promoted.group.owed_answers import OwedAnswers
+from orchidwind.promoted.group.overdue_answers import OverdueAnswers
 from orchidwind.promoted.group.silent_connections import SilentConnections
 from orchidwind.promoted.group.status_calls import StatusCall, StatusCalls, status_query
 from orchidwind.promoted.group.view_changes import ViewChanges
@@ -55,19 +57,19 @@
 from orchidwind.shared.logs import log_event
 from orchidwind.shared.task_set import TaskSet
 
-# A proxy that is no home watches over a group for so many seconds after it served it. As
-# links between proxies are probed at rest for as long after their last use.
+# A proxy that is not a home supervises a group for this many seconds after it served a request of
+# the group. Idle links between proxies are probed for as long after their last use.
 _SUPERVISED_AFTER_USE_SECONDS = 5.0
-# Connections to each instance of a proxy that is no home, which serves only while no home can be
-# reached. The least, as the homes' shares may add up to the instance's limit.
-_SHARES_WITHOUT_HOME = ConnectionShares(primary=1, near=1, far=1)
+# Connections to each instance for a proxy that is not a home and serves only while no home can be
+# reached. The minimum, as the homes' shares may add up to the instance's limit.
+_NON_HOME_SHARES = ConnectionShares(primary=1, near=1, far=1)
 
 
 class GroupEnvironment(Struct, frozen=True):
-    """What all groups of one proxy share.
+    """Settings and services shared by all groups of one proxy.
 
-    `entry_outlives` is for how many seconds a directory entry stays after its instance's last sign
-    of life. `on_used` is called when requests are served here.
+    `entry_outlives` is the number of seconds for which a directory entry stays after its instance's
+    last renewal. `on_used` is called when this proxy serves a request of a group.
     """
 
     zone: str
@@ -79,7 +81,7 @@
 
 
 class GroupService:
-    """Times are in seconds of the running loop's clock."""
+    """One promoted group at one proxy. Times are in seconds of the running loop's clock."""
 
     def __init__(
         self,
@@ -87,7 +89,7 @@
         environment: GroupEnvironment,
         on_wake: Callable[[], None],
     ) -> None:
-        """`on_wake` is called when the group's supervisor should decide anew."""
+        """`on_wake` is called when the group's supervisor should decide again."""
         self._environment = environment
         self._metrics = environment.metrics
         self._loop = asyncio.get_running_loop()
@@ -101,10 +103,10 @@
         self.topology = self.state.topology
         self._breakers = GroupBreakers(settings.name)
         self._waiting = WaitingRequests(self._breakers, self._request_waits)
-        self._bind_connections()
-        self._bind_exchanges()
+        self._create_connection_components()
+        self._create_exchange_components()
 
-    def _bind_connections(self) -> None:
+    def _create_connection_components(self) -> None:
         connector, on_silent = self._environment.connector, self._metrics.silent
         self.connections = GroupConnections(
             self.state, connector, self._connection_broke, self.mark_unreachable
@@ -116,11 +118,11 @@
         self._silent = SilentConnections(
             self.topology, self.connections, self._writes, self.status_calls, on_silent
         )
-        self._owed = OwedAnswers(
+        self._overdue = OverdueAnswers(
             self.topology, self.connections.records, self._silent.check, self._on_wake
         )
 
-    def _bind_exchanges(self) -> None:
+    def _create_exchange_components(self) -> None:
         leases = self._environment.leases
         self._prover = LeadProver(self.topology, leases, self.ask_status)
         self._guard = CommitGuard(self.topology, self._prover, self.ask_status)
@@ -130,7 +132,7 @@
                 topology=self.topology,
                 connections=self.connections,
                 writes=self._writes,
-                owed=self._owed,
+                overdue=self._overdue,
                 prover=self._prover,
                 commits=commits,
                 breakers=self._breakers,
@@ -145,11 +147,11 @@
         """The group's settings in force."""
         return self.topology.settings
 
-    # --- this proxy's part in the group -------------------------------------------------------
+    # --- this proxy's role in the group -------------------------------------------------------
 
     @property
     def supervised(self) -> bool:
-        """Whether this proxy watches over the group: as a home, or while it serves it anyway."""
+        """Whether this proxy supervises the group: as a home, or after recently serving it."""
         return self._home or self._loop.time() - self._used_at < _SUPERVISED_AFTER_USE_SECONDS
 
     def _note_used(self) -> None:
@@ -157,15 +159,18 @@
         self._environment.on_used()
 
     def set_home(self, home: bool, shares: ConnectionShares, homes: int = 1) -> None:
-        """Whether this proxy is one of so many homes, each with so many connections an instance."""
+        """Set whether this proxy is a home, how many homes there are, and its connection shares."""
         if self._home and not home:
             self._close_idle()
         self._home = home
-        self.connections.set_shares(shares if home else _SHARES_WITHOUT_HOME, homes)
+        self.connections.set_shares(shares if home else _NON_HOME_SHARES, homes)
         self._on_wake()
 
     def trim(self) -> None:
-        """Close connections that were not used lately; a home retains one to each instance."""
+        """Close connections that were not used recently.
+
+        A supervised group keeps one to each instance; otherwise all idle ones are closed.
+        """
         if self.supervised:
             self.connections.trim()
         else:
@@ -178,20 +183,23 @@
     # --- changes of the view ------------------------------------------------------------------
 
     def changed(self) -> None:
-        """The view changed: waiting requests and the supervisor decide anew."""
+        """Wake waiting requests and the supervisor after a change of the view."""
         self._waiting.wake()
         self._on_wake()
 
     def life_ended(self, instance: str, next_life: str) -> None:
-        """An instance has started anew: links under its old name may lead to the new life."""
+        """Drop connections to an instance that restarted as a new incarnation.
+
+        Connections under the old incarnation's name may lead to the new one.
+        """
         self.view_changes.life_ended(instance, next_life)
         self.status_calls.close_link(instance)
         self.connections.drop_idle(instance)
 
     async def forget_old(self) -> None:
-        """Drop what belongs to instances that left long ago, if others have their logs."""
+        """Forget instances that left long ago, provided that others hold their logs."""
         if self.supervised and self.topology.confirming.some_due(self._loop.time()):
-            # The primary first: what it has by then, the others must have afterwards.
+            # Ask the primary first: whatever its log holds then, the others must report later.
             views = self.topology.instances.items()
             listed = [name for name, view in views if view.listed]
             for name in sorted(listed, key=lambda name: not self.topology.primary_term(name)):
@@ -206,7 +214,7 @@
         self._writes.forget(instance)
 
     def mark_unreachable(self, instance: str) -> None:
-        """An instance does not answer: its idle connections are of no use, reads go elsewhere."""
+        """Mark an instance that does not answer: drop its idle connections and move its reads."""
         view = self.topology.instances.get(instance)
         if view is None:
             return
@@ -218,7 +226,7 @@
         self._silent.end_reads(instance)
         self.changed()
 
-    # --- what requests ask for ----------------------------------------------------------------
+    # --- requests -----------------------------------------------------------------------------
 
     def _request_waits(self) -> None:
         self._note_used()
@@ -227,9 +235,10 @@
     async def wait_for_primary(
         self, deadline: float, lead_proof: bool, commit: bool
     ) -> PrimaryView:
-        """Wait for a primary; raises RequestError, at once where it is known to be in vain.
+        """Wait for a primary. Raises RequestError, at once if a circuit breaker is open.
 
-        `lead_proof` and `commit` tell whether the request relies on them.
+        `lead_proof` and `commit` say whether the request depends on a proof of leadership and on a
+        commit.
         """
         self._breakers.check_at_primary(lead_proof, self.oldest_write() if commit else None)
         return await self._waiting.wait_for(
@@ -244,7 +253,7 @@
         excluded: frozenset[str],
         deadline: float,
     ) -> ReadPlan:
-        """Wait for an instance that may serve a read; raises RequestError."""
+        """Wait for an instance that may serve a read. Raises RequestError."""
 
         request = ReadRequest(database, session_floor, arrived_at, excluded)
         expected = self.connections.expected_answer
@@ -265,41 +274,41 @@
         target_at: float = NO_TARGET,
         tenant: str = NO_TENANT,
     ) -> int:
-        """Wait for a server connection; raises RequestError, BackendConnectionLost."""
+        """Wait for a server connection. Raises RequestError, BackendConnectionLost."""
         self._note_used()
         self._silent.resting.watch()
         wait = ConnectionWait(traffic_class, deadline, target_at, tenant)
         return await self.connections.acquire(instance, wait)
 
     def release(self, connection: int, reusable: bool) -> None:
-        """Give a connection back."""
+        """Return a connection to its pool."""
         self.connections.release(connection, reusable)
 
     async def exchange(self, step: Exchange, writes: bool, arrived_at: float) -> ExchangeResult:
-        """Send messages and wait; raises BackendConnectionLost."""
+        """Send messages and wait for the replies. Raises BackendConnectionLost."""
         return await self._exchanges.run(step, writes, arrived_at)
 
     async def prove_lead(self, term: int, deadline: float) -> bool:
-        """Ask a replica, now, whether it knows of no term after `term`."""
+        """Whether a replica asked now confirms in time that no term after `term` has begun."""
         try:
             async with asyncio.timeout_at(deadline):
                 query = self._prover.join()
                 return await self._exchanges.proves(query, term, self._loop.time())
         except TimeoutError:
-            # No line: the caller goes on without the proof until its own deadline.
+            # Not logged: the caller continues without the proof until its own deadline.
             return False
 
-    # --- what the supervisor asks for ---------------------------------------------------------
+    # --- supervision --------------------------------------------------------------------------
 
     def _connection_broke(self, instance: str) -> None:
-        self._owed.connection_broke(instance)
+        self._overdue.connection_broke(instance)
 
     def suspects(self) -> list[str]:
-        """Instances whose connections broke, or that have owed an answer for a while."""
-        return self._owed.suspects()
+        """Instances whose connections broke or whose answers are overdue."""
+        return self._overdue.suspects()
 
     def oldest_write(self) -> float:
-        """How long the oldest write at the present primary has waited, in seconds."""
+        """How long the oldest pending write at the current primary has waited, in seconds."""
         now = self._loop.time()
         primary = self.topology.primary(now)
         return 0.0 if primary is None else self._writes.longest_wait(primary.instance, now)
@@ -308,18 +317,18 @@
         self,
         instance: str,
         call: StatusCall,
-        hurried: bool = False,
+        urgent: bool = False,
         repeatable: bool = False,
     ) -> InstanceStatus | None:
-        """Make a status or control call; None where no status came in time."""
+        """Make a status or control call; None if no status arrives in time."""
         self._metrics.message("status_or_control")
-        status = await self.status_calls.ask(instance, call, hurried, repeatable)
+        status = await self.status_calls.ask(instance, call, urgent, repeatable)
         if status is not None:
             self.view_changes.take_status(status)
         return status
 
     async def ask_status(self, instance: str) -> InstanceStatus | None:
-        """Ask an instance for its status; None where it did not come in time."""
+        """Ask an instance for its status; None if it does not arrive in time."""
         return await self.ask(instance, status_query, repeatable=True)
 
     def ask_soon(self, instance: str) -> None:
@@ -327,9 +336,9 @@
         self._tasks.start(self.ask_status(instance))
 
     def close(self) -> None:
-        """Close every connection."""
+        """Cancel all background tasks and close every connection."""
         self._tasks.cancel()
-        self._owed.close()
+        self._overdue.close()
         self._silent.close()
         self._prover.close()
         self._guard.close()
--- a/src/orchidwind/promoted/group/group_supervision.py
+++ b/src/orchidwind/promoted/group/group_supervision.py
@@ -1,8 +1,8 @@
-"""Watches over one promoted group: asks for statuses, and has a primary changed when it must be.
+"""Supervises one promoted group: requests statuses, and starts a change of primary if needed.
 
-Owns: the times of the decisions of `core/supervision` and the change of primary that runs, at most
-one a group and proxy. Relies on `FailoverRunner` for the change and on `GroupService` for what is
-seen of the instances.
+`core/supervision` decides. This module schedules its decisions and runs the change of primary, at
+most one for each group and proxy. It depends on `FailoverRunner` for the change and on
+`GroupService` for the state of the instances.
 """
 
 from __future__ import annotations
@@ -29,15 +29,16 @@
 from orchidwind.promoted.ports import PromotionService
 from orchidwind.shared.logs import log_event
 
-# Seconds after which a proxy without a part in a group checks whether it has one now. To
-# take part wakes the supervisor at once, so nothing waits for it.
+# Seconds between checks by a proxy that does not supervise a group of whether it does now. Becoming
+# a home or being used wakes the supervisor at once, so nothing waits for this check.
 _UNSUPERVISED_CHECK_SECONDS = 1.0
 
 
 class SupervisionServices(Struct, frozen=True):
-    """What all groups of a proxy share for changes of primary.
+    """Services for changes of primary, shared by all groups of a proxy.
 
-    `refresh_views` reads anew who may hold commits, and returns whether the store answered.
+    `refresh_views` reads again which instances may hold commits, and returns whether the store
+    answered.
     """
 
     lock: PromotionLockClient
@@ -49,39 +50,39 @@
 
 
 class GroupSupervision:
-    """One group's supervisor, while this proxy has a part in the group."""
+    """Runs one group's supervisor while this proxy supervises the group."""
 
     def __init__(
         self, group: GroupService, wake: asyncio.Event, services: SupervisionServices
     ) -> None:
-        """`wake` is set when the supervisor should decide anew."""
+        """`wake` is set when the supervisor should decide again."""
         self._group = group
         self._wake = wake
         self._services = services
         self._supervisor = GroupSupervisor(group.topology)
-        self._running: asyncio.Task[None] | None = None
+        self._change_task: asyncio.Task[None] | None = None
         self._loop = asyncio.get_running_loop()
 
     async def run(self) -> None:
-        """Decide again and again, until cancelled."""
+        """Make decisions until cancelled."""
         try:
             while True:
                 await self._wait(self._decide())
         finally:
-            if self._running is not None:
-                self._running.cancel()
+            if self._change_task is not None:
+                self._change_task.cancel()
 
     async def _wait(self, seconds: float) -> None:
         try:
             async with asyncio.timeout(seconds):
                 await self._wake.wait()
         except TimeoutError:
-            # Silent: nothing woke the supervisor, and its next decision is due.
+            # Expected: nothing woke the supervisor before its next scheduled decision.
             pass
         self._wake.clear()
 
     def _decide(self) -> float:
-        """Act on what is known now; after how many seconds to decide again at the latest."""
+        """Make and carry out one decision; returns the seconds until the next, at the latest."""
         if not self._group.supervised:
             return _UNSUPERVISED_CHECK_SECONDS
         decision = self._supervisor.decide(
@@ -94,16 +95,16 @@
         for instance in decision.ask:
             self._group.ask_soon(instance)
         if decision.plan is not None and self._may_start():
-            self._running = self._loop.create_task(self._change_primary(decision.plan))
+            self._change_task = self._loop.create_task(self._change_primary(decision.plan))
         return decision.again_after
 
     def _may_start(self) -> bool:
         """Whether neither this proxy nor another one is changing a primary."""
-        runs = self._running is not None and not self._running.done()
+        runs = self._change_task is not None and not self._change_task.done()
         return not runs and not self._services.leases.held_by_another()
 
     async def _read_members(self, reason: FailoverReason) -> FailoverPlan | None:
-        """Plan from views that are read anew; None where the store does not answer."""
+        """Make a plan from refreshed views; None if the store does not answer."""
         if not await self._services.refresh_views():
             return None
         return self._supervisor.plan(self._loop.time(), reason, self._services.rosters.known)
@@ -111,7 +112,7 @@
     async def _change_primary(self, planned: FailoverPlan) -> None:
         try:
             outcome = await self._try_change(planned)
-        except Exception as error:  # the next decision tries again; what went wrong must be seen
+        except Exception as error:  # logged, as the next decision tries again
             log_event(
                 "failover_broke_off",
                 level=logging.ERROR,
--- a/src/orchidwind/promoted/group/held_commits.py
+++ b/src/orchidwind/promoted/group/held_commits.py
@@ -1,7 +1,7 @@
-"""When the commits of one group are acknowledged to their callers, and which were.
+"""Holds back the acknowledgement of a group's commits until they are proven to survive.
 
-Owns: the wait of a commit for its proof (`commit_guard` decides), and the last acknowledged
-commits, which are named in the log when the primary changes, so that a lost one can be traced.
+`commit_guard` decides when a commit is proven. This module also remembers the last acknowledged
+commits and logs them when the primary changes, so that a lost commit can be traced.
 """
 
 from __future__ import annotations
@@ -22,11 +22,11 @@
 from orchidwind.shared.core.positions import Position
 from orchidwind.shared.logs import log_event
 
-# Commits that wait for longer are logged, seconds. A proof by a replica takes some
+# A commit that waits for more than this many seconds is logged. A proof by a replica takes some
 # milliseconds.
 _WAIT_LOGGED_SECONDS = 0.1
-# The last acknowledged commits that are named at a change of primary. Some 3 s of a busy
-# group's commits at one proxy, which is what a change of primary could leave out.
+# Number of acknowledged commits that are remembered and logged at a change of primary: about 3 s of
+# a busy group's commits at one proxy, which is what a change of primary could lose.
 _COMMITS_REMEMBERED = 64
 
 
@@ -39,7 +39,7 @@
 
 
 class HeldCommits:
-    """Holds commits back until no change of primary can leave them out."""
+    """Holds back commits until no change of primary can lose them."""
 
     def __init__(
         self,
@@ -56,10 +56,10 @@
         self._remembered: deque[_AcknowledgedCommit] = deque(maxlen=_COMMITS_REMEMBERED)
 
     async def wait(self, instance: str, asked: InstanceMessage, reply: Reply) -> None:
-        """Return when a commit may be acknowledged; BackendConnectionLost where it is left out."""
+        """Wait until a commit may be acknowledged; raises BackendConnectionLost if it was lost."""
         position = reply.position or Position(self._topology.primary_term(instance), 0)
         commit = ConfirmedCommit(instance, position)
-        if not self._guard.lease_acknowledges(commit):
+        if not self._guard.lease_allows_acknowledgement(commit):
             await self._wait_for_proof(commit, asked.request_id)
         self._leases.note_acknowledged(self._topology.settings.name, position)
         self._remembered.append(_AcknowledgedCommit(asked.request_id, position))
@@ -76,7 +76,7 @@
         finally:
             self._log_wait(commit, request_id, outcome, self._loop.time() - began)
         if outcome != "acknowledged":
-            raise BackendConnectionLost("a change of primary has left the commit out", sent=True)
+            raise BackendConnectionLost("the commit was lost in a change of primary", sent=True)
 
     def _log_wait(
         self, commit: ConfirmedCommit, request_id: str, outcome: str, seconds: float
@@ -93,8 +93,11 @@
             milliseconds=int(seconds * 1000),
         )
 
-    def log_before(self, term: int) -> None:
-        """A primary of a new term was found: name the last commits of older terms."""
+    def log_commits_before(self, term: int) -> None:
+        """Log the last acknowledged commits of terms before a new primary's term.
+
+        Forgets all remembered commits.
+        """
         remembered = list(self._remembered)
         self._remembered.clear()
         older = [commit for commit in remembered if commit.position.term < term]
--- a/src/orchidwind/promoted/group/instance_pools.py
+++ b/src/orchidwind/promoted/group/instance_pools.py
@@ -1,6 +1,6 @@
-"""The connection pools of one group, one an instance, and how they are used.
+"""The connection pools of one group, one for each instance, and their usage.
 
-Owns: the pools and the share that each may hold. Their effects are carried out in `connections`.
+Holds the pools and their shares of connections. `pool_driver` carries out the pools' effects.
 """
 
 from __future__ import annotations
@@ -13,20 +13,20 @@
 from orchidwind.shared.core.concurrency_window import ConcurrencyWindow
 from orchidwind.shared.core.pool import InstancePool
 
-# Connections to each instance before the placement of homes is known. One for statements
-# and one beside it.
+# Connections to each instance before the placement of homes is known: one for statements and one
+# for other uses at the same time.
 _CONNECTIONS_BEFORE_PLACEMENT = 2
 
 
 class PoolUsage(Struct, frozen=True):
-    """The connections to one instance, and the requests that wait for one."""
+    """The number of connections to one instance, and of requests that wait for one."""
 
     connections: int
     queued: int
 
 
 class ConnectionShares(Struct, frozen=True):
-    """How many connections a proxy may hold to a primary, and to a replica of its zone or not."""
+    """Connection limits of a proxy: to a primary, to a replica in its zone, to one elsewhere."""
 
     primary: int
     near: int
@@ -42,7 +42,7 @@
         is_near: Callable[[str], bool],
         is_primary: Callable[[str], bool],
     ) -> None:
-        """`fair_window` gives how much this proxy may have under way at an instance."""
+        """`fair_window` returns this proxy's fair share of concurrent requests at an instance."""
         before = _CONNECTIONS_BEFORE_PLACEMENT
         self.shares = ConnectionShares(before, before, before)
         self._is_near = is_near
@@ -55,7 +55,7 @@
         return iter(self._pools.values())
 
     def of(self, instance: str) -> InstancePool:
-        """The pool of an instance; a new one where there is none."""
+        """The pool of an instance; created if there is none."""
         pool = self._pools.get(instance)
         if pool is None:
             window = ConcurrencyWindow(self._fair_window(instance))
@@ -72,32 +72,35 @@
         return self.shares.near if self._is_near(instance) else self.shares.far
 
     def share_windows(self) -> None:
-        """The proxies that share the instances have changed."""
+        """Recompute the fair shares after the number of homes changed."""
         for name, pool in self._pools.items():
             if pool.window is not None:
                 pool.window.set_fair_share(self._fair_window(name))
 
     def known(self, instance: str) -> InstancePool | None:
-        """The pool of an instance; None before its first use, and once it is forgotten."""
+        """The pool of an instance; None before its first use and after it was forgotten."""
         return self._pools.get(instance)
 
     def usage(self, instance: str) -> PoolUsage:
-        """How many connections to an instance are open, and how many requests wait."""
+        """The usage of an instance's pool."""
         pool = self._pools.get(instance)
         return PoolUsage(pool.size, len(pool.queue)) if pool else PoolUsage(0, 0)
 
     @property
     def held_instances(self) -> list[str]:
-        """Instances to which a request holds a connection."""
+        """Instances to which requests hold connections."""
         return [name for name, pool in self._pools.items() if pool.busy]
 
     @property
     def busy(self) -> int:
-        """Connections that requests or transactions hold."""
+        """The number of connections that requests or transactions hold."""
         return sum(len(pool.busy) for pool in self._pools.values())
 
     def lacks_connections(self, instances: Iterable[str]) -> bool:
-        """Whether requests wait for want of connections to one of these instances."""
+        """Whether the connections to one of these instances do not suffice.
+
+        True if there is none, or if more requests wait for a connection than hold one.
+        """
         return any(self._lacks_connections(self._pools.get(name)) for name in instances)
 
     def _lacks_connections(self, pool: InstancePool | None) -> bool:
@@ -106,9 +109,9 @@
         return len(pool.queue) > len(pool.busy)
 
     def forget(self, instance: str) -> None:
-        """An instance left long ago."""
+        """Drop the pool of an instance that left long ago."""
         self._pools.pop(instance, None)
 
     def clear(self) -> None:
-        """Forget all of them."""
+        """Drop all pools."""
         self._pools.clear()
--- a/src/orchidwind/promoted/group/lead_prover.py
+++ b/src/orchidwind/promoted/group/lead_prover.py
@@ -1,10 +1,11 @@
-"""Proofs that the known primary of a group still leads: by lead lease, or by asking a replica.
+"""Proves that a group's known primary still leads: by leadership lease or by asking a replica.
 
-What for: `core/lead_proof.py` has the rule; this gathers its inputs for one group and sends the
+The rules are in `core/lead_proof.py`. This module gathers their inputs for one group and sends the
 status queries.
 
-Owns: the status query that is under way, and the lead that was proven last. Relies on: the proxy's
-lease keeper, the group's topology, a status call that returns None in bounded time.
+It owns the pending status query and the last proof of leadership. It depends on the proxy's lease
+keeper, the group's topology, and a status call that returns in bounded time, None if there is no
+answer.
 """
 
 from __future__ import annotations
@@ -29,7 +30,7 @@
 
 
 class LeadProver:
-    """One status query of a replica serves all requests that came before it was sent."""
+    """Proves leadership for requests; they share the status queries sent after their arrival."""
 
     def __init__(self, topology: GroupTopology, leases: LeaseKeeper, ask: AskStatus) -> None:
         self._topology = topology
@@ -39,14 +40,14 @@
         self._query: SharedQuery[InstanceStatus | None] = SharedQuery(self._query_replica)
         self._proven: ProvenLead | None = None
 
-    def leased(self, instance: str, arrived_at: float) -> bool:
-        """Whether the lead lease spares the proof for a request that came at a time."""
-        self._leases.want()
+    def lease_proves(self, instance: str, arrived_at: float) -> bool:
+        """Whether the leadership lease alone proves leadership for a request that arrived then."""
+        self._leases.request_renewal()
         term = self._topology.primary_term(instance)
         return lease_proves_lead(instance, self.evidence(instance, term, arrived_at))
 
     def evidence(self, instance: str, term: int, at: float) -> LeaseEvidence:
-        """What the lead lease says, for a time, of an instance that led in a term."""
+        """The lease's evidence at a time for an instance that was primary in a term."""
         return LeaseEvidence(
             self._leases.covers(at),
             self._leases.free_revision,
@@ -54,26 +55,26 @@
             self._topology.successor_may_lead(instance, term),
         )
 
-    def covered_now(self) -> bool:
-        """Whether nobody can change a primary at this moment, whoever leads."""
+    def lease_covers_now(self) -> bool:
+        """Whether the lease now rules out a change of the primary of any group."""
         return self._leases.covers(self._loop.time())
 
     @property
     def lock_revision(self) -> StoreRevision | None:
-        """The promotion lock's revision while it is known to be free."""
+        """The promotion lock's revision while the lock is known to be free, else None."""
         return self._leases.free_revision
 
-    def proven_under(self, instance: str, lock_revision: StoreRevision | None) -> None:
-        """An instance was proven to lead by a query sent while the lock stood at a revision."""
+    def note_proven(self, instance: str, lock_revision: StoreRevision | None) -> None:
+        """Record a proof of leadership by a query sent while the lock had this revision."""
         if lock_revision is not None:
             self._proven = ProvenLead(instance, lock_revision)
 
-    def want_lease(self) -> None:
-        """A commit is under way: have the lease there when its answer comes, or renewed."""
-        self._leases.want()
+    def request_lease(self) -> None:
+        """Acquire or renew the lease for a commit that was sent, before its answer arrives."""
+        self._leases.request_renewal()
 
     def join(self) -> StatusTask:
-        """A status query of a replica that is sent after now."""
+        """Join a status query of a replica that is sent after this call."""
         return self._query.join()
 
     async def _query_replica(self) -> InstanceStatus | None:
@@ -86,9 +87,9 @@
         return None
 
     async def proves(self, query: StatusTask, term: int) -> bool:
-        """Whether a query shows that no primary after `term` had begun when it was sent."""
+        """Whether a query shows that no primary of a later term existed when it was sent."""
         await asyncio.wait({query})
-        if query.cancelled():  # this proxy closes its groups
+        if query.cancelled():  # the group is being closed
             return False
         status = query.result()
         if status is None or not shows_no_later_term(status, term):
@@ -99,5 +100,5 @@
         return not self._topology.successor_may_lead(primary.instance, primary.term)
 
     def close(self) -> None:
-        """Give up what is under way."""
+        """Cancel the pending queries."""
         self._query.close()
--- a/src/orchidwind/promoted/group/lease_keeper.py
+++ b/src/orchidwind/promoted/group/lease_keeper.py
@@ -1,13 +1,13 @@
-"""Keeps this proxy's lead lease, and collects the others' confirmations before a promotion.
+"""Maintains this proxy's leadership lease, and awaits the other proxies' confirmations.
 
-What for: `core/lead_lease.py` says for how long a lease covers; this reads the promotion lock while
-requests want the lease, drops the lease when another proxy takes the lock, and confirms that to the
-registry in the store. A proxy that promotes waits here until all others have confirmed, or until
-all leases have run out.
+`core/lead_lease.py` defines how long a lease is valid. The keeper reads the promotion lock while
+requests need the lease, drops the lease when another proxy takes the lock, and confirms the drop in
+the registry in the store. Before a promotion, the promoting proxy waits here until all other
+proxies have confirmed, or until all leases have expired.
 
-Owns: the lease, the registration of this proxy, and up to where it acknowledged commits of each
-group. Relies on: `lock_readings` for readings, a watch that calls `listed` and `changed` with the
-lock's records, and a registry whose calls end in bounded time.
+The keeper owns the lease, this proxy's registration, and the log position up to which this proxy
+acknowledged commits of each group. It depends on `lock_readings`, on a watch that calls `listed`
+and `changed` with the lock's records, and on a registry whose calls return in bounded time.
 """
 
 from __future__ import annotations
@@ -42,31 +42,31 @@
 from orchidwind.shared.core.positions import Position
 from orchidwind.shared.logs import log_event
 
-# Seconds until a registration or confirmation that failed is tried again. A holder waits
-# 1.1 s for a confirmation, so a second and a third try still count.
+# Seconds before a failed registration or confirmation is retried. The lock holder waits 1.1 s for
+# a confirmation, so a second and a third attempt are still in time.
 _REGISTRY_RETRY_SECONDS = 0.25
-# Seconds that a proxy which stops waits for its last write to the registry. A planned stop
-# has used most of its grace by then.
+# Seconds that a stopping proxy waits for its last write to the registry. A planned stop has
+# already used most of its grace period by then.
 _LEAVE_SECONDS = 0.3
 
 assert _REGISTRY_RETRY_SECONDS * 2 < REVOCATION_WAIT_SECONDS
 
 
-class LockUse(Protocol):
-    """What takes and gives back the promotion lock, and knows since when it stands as it does."""
+class PromotionLock(Protocol):
+    """Takes and releases the promotion lock, and tracks since when its record is unchanged."""
 
-    def saw(self, record: LockRecord) -> None:
-        """A watch shows the lock."""
+    def lock_observed(self, record: LockRecord) -> None:
+        """Handle the lock record as delivered by a watch."""
 
     async def create_free(self, absent: LockRecord) -> LockRecord:
-        """Create the lock of an era once no right from an earlier one can be in use.
+        """Create the lock of a store era once no lock or lease of an earlier era can be in use.
 
-        The record as it is then; raises PlatformError.
+        Returns the resulting record. Raises PlatformError.
         """
 
 
 class LeaseKeeper:
-    """One proxy's lease, while requests want it."""
+    """Maintains one proxy's leadership lease while requests need it."""
 
     def __init__(
         self,
@@ -74,13 +74,13 @@
         lock_store: PromotionLockStore,
         registry: LeaseRegistry,
         store_era: StoreEra,
-        lock_use: LockUse,
+        lock: PromotionLock,
         readers: Callable[[], LockReaders] = LockReaders,
     ) -> None:
-        """`readers` returns the proxies that read the lock for others."""
-        self._lock_use = lock_use
+        """`readers` returns the proxies that read the lock on behalf of others."""
+        self._lock = lock
         self._store_era = store_era
-        self._readings = LockReadings(lock_store, readers, store_era, lock_use.create_free)
+        self._readings = LockReadings(lock_store, readers, store_era, lock.create_free)
         store_era.on_return(self._store_came_back)
         self._released = asyncio.Event()
         self.lease = LeadLease()
@@ -90,73 +90,77 @@
         self._registry = registry
         self._object_revision: StoreRevision | None = None
         self._wanted = asyncio.Event()
-        self._left = False
+        self._leaving = False
         self._acknowledged: dict[str, Position] = {}
         self._confirmed = StoreRevision(0)
         self._to_confirm = StoreRevision(0)
         self._confirm_wanted = asyncio.Event()
         self._loop = asyncio.get_running_loop()
 
-    def want(self) -> None:
-        """A request could use the lease: have it read, or read again."""
+    def request_renewal(self) -> None:
+        """Request that the lease is acquired or renewed, as a request could use it."""
         self._wanted.set()
 
     def covers(self, at: float) -> bool:
-        """Whether no change of primary had taken effect at a time."""
+        """Whether the lease rules out that a change of primary had taken effect at a time."""
         return self.lease.covers(at)
 
     @property
     def free_revision(self) -> StoreRevision | None:
-        """The promotion lock's revision while it is known to be free, else None."""
+        """The promotion lock's revision while the lock is known to be free, else None."""
         return self.lease.free_revision
 
     def note_acknowledged(self, group: str, position: Position) -> None:
-        """A commit of a group is acknowledged, up to this end of the primary's log."""
+        """Record that this proxy acknowledges a commit of a group, at this log position."""
         self._acknowledged[group] = max(position, self._acknowledged.get(group, position))
 
     def _store_came_back(self) -> None:
-        """The registration may be lost, so no lease counts until there is another."""
+        """Drop the lease: the store may have lost the registration, so register again first."""
         self.lease.not_registered()
         self._wanted.set()
 
     def _confirmation(self, revision: StoreRevision) -> LeaseConfirmation:
-        # Before the lock was seen, it is not known how long this process has run.
+        # `first_revision` tells lock holders since when this process has run. Until this proxy has
+        # seen the lock, that is not known, and the confirmed revision is used.
         first = self.lease.first_revision
         first = revision if first is None else first
         return LeaseConfirmation(self._node, revision, first, dict(self._acknowledged))
 
     async def run(self) -> None:
-        """Register with the first request, then read the lock as often as they want the lease."""
+        """Register on the first request, then read the lock for as long as requests need it."""
         while True:
             await self._wanted.wait()
-            if self._left:
+            if self._leaving:
                 return
             if not self.lease.is_registered and not await self._register():
                 await asyncio.sleep(_REGISTRY_RETRY_SECONDS)
                 continue
             self._wanted.clear()
             await self._renew()
-            await self._rest()
+            await self._wait_until_due()
 
-    async def _rest(self) -> None:
-        """Wait until the lease is due, or another change of primary is over."""
+    async def _wait_until_due(self) -> None:
+        """Wait until the lease is due for renewal, or the promotion lock is released."""
         self._released.clear()
         due_in = renewal_due_in(self.lease, self._loop.time())
         try:
             async with asyncio.timeout(due_in):
                 await self._released.wait()
         except TimeoutError:
-            return  # the usual end of this wait: the lease is due
+            return  # the usual end of this wait: the lease is due for renewal
 
     async def _register(self) -> bool:
-        """Have others wait for this proxy from now on, so that its lease may count."""
+        """Register this proxy, so that a lock holder waits for it and its lease may be used.
+
+        Returns whether the registration succeeded.
+        """
         confirmation = self._confirmation(StoreRevision(0))
         try:
             self._object_revision = await self._registry.confirm(confirmation)
         except PlatformError as error:
             log_event("lease_not_registered", reason=str(error))
             return False
-        if self._left or self._store_era.current > self._object_revision.era:
+        if self._leaving or self._store_era.current > self._object_revision.era:
             return False
         self.lease.registered(self._loop.time())
         return True
@@ -169,29 +173,29 @@
             self.lease.lock_seen(reading)
 
     async def report(self, number: int) -> LockReport:
-        """Another proxy asks what the lock is."""
+        """Answer another proxy's query `number` for the state of the lock."""
         return await self._readings.report(number)
 
     def held_by_another(self) -> bool:
-        """Whether another proxy is known to hold the promotion lock, not for too long yet."""
+        """Whether another proxy holds the promotion lock, and has not held it for too long."""
         held_for = self._loop.time() - self._held_since
         return held_by_another(self.holder, self._node, held_for)
 
     # --- revocation ---------------------------------------------------------------------------
 
     def listed(self, listing: Listing[LockRecord]) -> bool:
-        """The lock as a fresh listing shows it."""
+        """Apply a full listing of the lock's record. Always returns True."""
         for record in listing.items:
-            self._take(record)
+            self._apply_record(record)
         return True
 
     def changed(self, changes: Changes[LockRecord]) -> None:
-        """The lock changed."""
+        """Apply changes of the lock's record."""
         for record in changes.changed:
-            self._take(record)
+            self._apply_record(record)
 
-    def _take(self, record: LockRecord) -> None:
-        self._lock_use.saw(record)
+    def _apply_record(self, record: LockRecord) -> None:
+        self._lock.lock_observed(record)
         self.holder = "" if record.released else record.holder
         self._held_since = self._loop.time()
         if record.released:
@@ -203,7 +207,10 @@
             self._confirm_wanted.set()
 
     async def confirm_drops(self) -> None:
-        """Tell each new holder of the lock that this proxy's lease is dropped."""
+        """Confirm to each new holder of the lock that this proxy dropped its lease.
+
+        Runs until cancelled.
+        """
         while True:
             await self._confirm_wanted.wait()
             self._confirm_wanted.clear()
@@ -215,23 +222,23 @@
                 self._object_revision = await self._registry.confirm(confirmation)
             except PlatformError as error:
                 log_event("lease_drop_not_confirmed", revision=revision, reason=str(error))
-                await self._confirm_again()
+                await self._schedule_retry()
                 continue
             self._confirmed = revision
 
-    async def _confirm_again(self) -> None:
-        """Try again while the holder may still wait for this proxy."""
+    async def _schedule_retry(self) -> None:
+        """Schedule a retry while the holder may still wait for this proxy."""
         await asyncio.sleep(_REGISTRY_RETRY_SECONDS)
         if self._loop.time() - self._held_since < REVOCATION_WAIT_SECONDS:
             self._confirm_wanted.set()
 
     async def leave(self) -> None:
-        """This proxy stops: nobody waits for it any more, but what it acknowledged stays known.
+        """Deregister this proxy as it stops; the positions that it acknowledged stay recorded.
 
-        Written over this process's own object only: a call that is late must not speak for the
-        process that is started next under the same name.
+        Lock holders no longer wait for it. Only the object that this process wrote is overwritten:
+        a late call must not affect the next process that is started under the same name.
         """
-        self._left = True
+        self._leaving = True
         self.lease.not_registered()
         if self._object_revision is None:
             return
@@ -245,30 +252,33 @@
     async def wait_for_others(
         self, group: str, token: StoreRevision, taken_at: float
     ) -> AcknowledgedCommits | None:
-        """Wait until no other proxy's lease counts; `taken_at` is when the lock's answer came.
+        """Wait until no other proxy's lease is valid; `taken_at` is when the lock was obtained.
 
-        Up to where all proxies acknowledged commits of a group, None where one does not say.
+        Returns the positions up to which the proxies acknowledged commits of the group, or None if
+        not all of them confirmed.
         """
         self.lease.lock_taken(token)
         deadline = taken_at + REVOCATION_WAIT_SECONDS
         while (left := deadline - self._loop.time()) > 0:
-            confirmed = await self._all_dropped(token)
+            confirmed = await self._confirmations_of_others(token)
             if confirmed is not None:
                 own = self._confirmation(token)
                 return _acknowledged_by(group, (*confirmed, own), token.era)
             await asyncio.sleep(min(CONFIRMATIONS_INTERVAL_SECONDS, left))
         return None
 
-    async def _all_dropped(self, token: StoreRevision) -> list[LeaseConfirmation] | None:
-        """What the others wrote with the drop of their leases, None until all have."""
+    async def _confirmations_of_others(
+        self, token: StoreRevision
+    ) -> list[LeaseConfirmation] | None:
+        """The other proxies' confirmations; None until all of them have dropped their leases."""
         try:
             listing = await self._registry.confirmations()
         except PlatformError as error:
-            # All leases have run out when the wait ends, whatever is confirmed.
+            # Not fatal: all leases have expired when the wait ends, whatever was confirmed.
             log_event("lease_confirmations_not_read", token=token, reason=str(error))
             return None
         if listing.revision.era != token.era:
-            return None  # registrations may be lost: leases are waited out
+            return None  # registrations may be lost: wait until the leases expire
         others = [item for item in listing.items if item.proxy != self._node]
         waiting = any(item.revision < token and not item.left for item in others)
         return None if waiting else others
--- a/src/orchidwind/promoted/group/lock_readings.py
+++ b/src/orchidwind/promoted/group/lock_readings.py
@@ -1,10 +1,11 @@
-"""Readings of the promotion lock: from the store, or from another proxy that read it.
+"""Reads the promotion lock from the store, or obtains a reading from another proxy.
 
-What for: one reading of the lock serves the lead leases of several proxies. A few read it from the
-store, the others ask those; a reading that is passed on is as old as its call.
+One reading of the lock serves the leadership leases of several proxies: a few read it from the
+store, and the others ask those. The age of a relayed reading counts from its call of the store.
 
-Owns: this proxy's last own reading, and whether the store answers. Relies on: a lock store whose
-calls end in bounded time, and links to the proxies that read before or after this one.
+This module owns this proxy's last own reading, and whether the store answers. It depends on a lock
+store whose calls return in bounded time, and on links to the proxies that read the lock before or
+after this one.
 """
 
 from __future__ import annotations
@@ -31,7 +32,7 @@
 
 
 class LockReadings:
-    """Reads the lock for this proxy, and for others that ask it."""
+    """Reads the lock for this proxy, and for other proxies on request."""
 
     def __init__(
         self,
@@ -40,10 +41,11 @@
         store_era: StoreEra,
         create_lock: CreateLock,
     ) -> None:
-        """`readers` returns the proxies that read the lock for others.
+        """`readers` returns the proxies that read the lock on behalf of others.
 
-        `create_lock` gets a record that is absent, though rights of earlier eras may have run out;
-        it returns the record as it is then.
+        `create_lock` is called with a record that does not exist in the store. It may create the
+        lock if no lock or lease of an earlier store era can be in use, and returns the resulting
+        record.
         """
         self._store_era = store_era
         self._create_lock = create_lock
@@ -55,19 +57,19 @@
         self._loop = asyncio.get_running_loop()
 
     async def current(self) -> LockReading | None:
-        """A reading for this proxy's lease, None where neither the store nor a proxy has one."""
+        """A reading for this proxy's lease; None if neither the store nor a proxy provides one."""
         readers = self._readers()
         first_asked = readers.before if self._readable else (*readers.before, *readers.after)
         reading = await self._relayed(first_asked) or await self._recent()
         return reading or await self._relayed(readers.after)
 
     async def fresh(self) -> LockReading | None:
-        """A reading that is sent to the store now, None where it does not answer."""
+        """Read the lock from the store now; None if the store does not answer."""
         async with self._one_at_a_time:
             return await self._read_store()
 
     async def report(self, number: int) -> LockReport:
-        """Another proxy asks what the lock is: one reading serves all that ask meanwhile."""
+        """Answer another proxy's query `number`; concurrent queries share one reading."""
         reading = await self._recent()
         if reading is None:
             return LockReport(number, known=False, age=0.0, revision=0, free=False)
@@ -76,7 +78,7 @@
         return LockReport(number, known=True, age=age, revision=revision, free=reading.free)
 
     async def _recent(self) -> LockReading | None:
-        """This proxy's last reading, or a new one where that is old."""
+        """This proxy's last reading, or a new one if that is too old to relay."""
         async with self._one_at_a_time:
             reading = self._last
             if reading is None or self._loop.time() - reading.sent_at > LONGEST_RELAYED_AGE_SECONDS:
@@ -84,7 +86,7 @@
             return reading
 
     async def _read_store(self) -> LockReading | None:
-        """Read the lock from the store, None where it does not answer."""
+        """Read the lock from the store; None if the store does not answer."""
         sent_at = self._loop.time()
         try:
             record = await self._lock_store.read()
@@ -98,7 +100,7 @@
         return self._last
 
     def _note_readable(self, readable: bool, reason: str) -> None:
-        """Log when the lock can be read no more, or again; without it there is no lease."""
+        """Log when the lock becomes unreadable or readable; without readings there is no lease."""
         if readable != self._readable:
             self._readable = readable
             log_event(
@@ -106,7 +108,7 @@
             )
 
     async def _relayed(self, sources: Sequence[PeerLink]) -> LockReading | None:
-        """The first reading of use that another proxy has, None where none has one."""
+        """The first usable reading that one of the proxies has; None if there is none."""
         for link in sources:
             reading = await self._ask(link)
             if reading is not None:
@@ -125,5 +127,5 @@
             return None
         revision = StoreRevision(report.revision)
         if not self._store_era.saw(revision.era, link.member.name):
-            return None  # it does not know yet that the store came back
+            return None  # the other proxy does not know yet that the store was restored
         return LockReading.relayed(asked_at, report.age, revision, report.free)
--- a/src/orchidwind/promoted/group/operator_status.py
+++ b/src/orchidwind/promoted/group/operator_status.py
@@ -1,7 +1,6 @@
-"""What a proxy of promoted groups knows, in the form that operators are shown.
+"""The state of a proxy of promoted groups as `orchidwind status` shows it.
 
-Owns: the fields of `orchidwind status` for a proxy, whose names operators rely on. Relies on the
-group services, which it only reads.
+Operators' tools depend on the names of the fields. The group services are only read.
 """
 
 from __future__ import annotations
@@ -16,7 +15,7 @@
 
 
 class OperatorInstanceStatus(msgspec.Struct, frozen=True):
-    """One instance. `view_age_ms` is the age of its last status, -1 where none is known."""
+    """One instance. `view_age_ms` is the age of its last status, or -1 if none is known."""
 
     name: str
     role: str
@@ -32,7 +31,7 @@
 
 
 class OperatorGroupStatus(msgspec.Struct, frozen=True):
-    """One group; `primary` is empty while none is known."""
+    """One group; `primary` is empty while no primary is known."""
 
     name: str
     primary: str
@@ -41,9 +40,10 @@
 
 
 class OperatorTenantStatus(msgspec.Struct, frozen=True):
-    """One tenant: its quota over all proxies, and what this one let pass since it started.
+    """One tenant: its quota over all proxies, and this proxy's counts since its start.
 
-    `rate` is in operations a second, `share` what this proxy holds of the quota, 0 to 1.
+    `rate` is in operations per second; `share` is this proxy's fraction of the quota, 0 to 1.
+    `passed` and `refused` count operations at this proxy.
     """
 
     name: str
@@ -55,9 +55,11 @@
 
 
 class OperatorStatus(msgspec.Struct, frozen=True):
-    """One proxy. `configuration_age_ms`: since when nobody has confirmed that it is the newest.
+    """One proxy.
 
-    `promotion_lock_holder` is the proxy that changes a primary now, if any."""
+    `configuration_age_ms` is the time since the configuration was last confirmed to be the newest.
+    `promotion_lock_holder` is the proxy that is changing a primary now, if any.
+    """
 
     node: str
     zone: str
@@ -73,7 +75,7 @@
 def tenant_statuses(
     tenants: Mapping[str, Tenant], quotas: QuotaService
 ) -> list[OperatorTenantStatus]:
-    """The tenants of the configuration, those first that this proxy refused most."""
+    """The tenants of the configuration, in descending order of refusals by this proxy."""
     statuses = []
     for tenant in tenants.values():
         use = quotas.use.get(tenant.name, TenantUse())
@@ -91,7 +93,7 @@
 
 
 def group_status(group: GroupService, now: float) -> OperatorGroupStatus:
-    """The state of one group at a time of the steady clock."""
+    """The state of one group at a time of the monotonic clock, in seconds."""
     primary = group.topology.primary(now)
     instances = []
     for name, view in group.topology.instances.items():
--- a/src/orchidwind/promoted/group/outstanding_writes.py
+++ b/src/orchidwind/promoted/group/outstanding_writes.py
@@ -1,7 +1,7 @@
-"""The writes of one group that have left for an instance and that it has not confirmed yet.
+"""The writes of one group that were sent to an instance and are not confirmed yet.
 
-Owns: which server connections carry one, and when each instance last confirmed one. Relies on
-the start times of exchanges in the connections' records. Times are in seconds of the loop's clock.
+Tracks which server connections carry a write, and when each instance last confirmed one. The start
+times of exchanges come from the connections' records. Times are in seconds of the loop's clock.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 
 class OutstandingWrites:
-    """A write that has left may still be confirmed: nothing ends it but its own time limit."""
+    """Tracks writes. A write that was sent may be confirmed until its own time limit ends it."""
 
     def __init__(self, records: ConnectionRecords) -> None:
         self._records = records
@@ -18,30 +18,31 @@
         self._confirmed_at: dict[str, float] = {}
 
     def began(self, connection: int) -> None:
-        """A write leaves on a connection."""
+        """Record that a write is sent on a connection."""
         self._connections.add(connection)
 
     def ended(self, connection: int) -> None:
-        """The exchange on a connection has ended, whatever it carried."""
+        """Record that the exchange on a connection, a write or not, has ended."""
         self._connections.discard(connection)
 
     def confirmed(self, instance: str, now: float) -> None:
-        """An instance confirmed a write; whether its caller may know is another matter."""
+        """Record that an instance confirmed a write, though it may not be acknowledged yet."""
         self._confirmed_at[instance] = now
 
     def forget(self, instance: str) -> None:
-        """An instance left long ago."""
+        """Drop the state of an instance that left long ago."""
         self._confirmed_at.pop(instance, None)
 
     def waited(self, instance: str, sent_at: float, now: float) -> float:
-        """For how many seconds an instance has confirmed none, by one that was sent then.
+        """Seconds for which an instance has confirmed no write, since one was sent at `sent_at`.
 
-        Where a later one was confirmed, the instance works and the connection is at fault.
+        If it confirmed a write since, the instance works and the connection is at fault, so the
+        time counts from that confirmation.
         """
         return now - max(sent_at, self._confirmed_at.get(instance, float("-inf")))
 
     def longest_wait(self, instance: str, now: float) -> float:
-        """How many seconds the oldest write at an instance has waited, 0 where there is none."""
+        """The longest wait, as in `waited`, of a pending write at an instance; 0 without any."""
         records = self._records
         waits = [
             self.waited(instance, since, now)
@@ -51,7 +52,7 @@
         return max(waits, default=0.0)
 
     def reads_at(self, instance: str, began_before: float) -> list[int]:
-        """Connections to an instance on which something else runs, begun by a time."""
+        """Connections to an instance with an exchange that is no write and began by a time."""
         records = self._records
         return [
             connection
--- a/src/orchidwind/promoted/group/owed_answers.py
+++ b/src/orchidwind/promoted/group/overdue_answers.py
@@ -1,7 +1,7 @@
-"""Notices the instances of one group that owe answers, and those whose connections broke.
+"""Detects instances of one group whose answers are overdue or whose connections broke.
 
-Owns: the timer that wakes the supervisor when an answer is overdue, and the instances whose
-connections broke since the supervisor last asked. The rule is in `core/instance_silence`.
+Owns the timer that wakes the supervisor when an answer is overdue, and the set of instances whose
+connections broke since the supervisor last asked. The rules are in `core/instance_silence`.
 """
 
 from __future__ import annotations
@@ -21,11 +21,12 @@
 CheckConnections = Callable[[str, float], None]
 
 
-class OwedAnswers:
-    """`on_suspect` is called when the supervisor should ask for the suspects.
+class OverdueAnswers:
+    """Detects suspect instances. Times are in seconds of the loop's clock.
 
-    `check_connections` checks the other connections to an instance that has owed an answer since a
-    time, in seconds of the loop's clock.
+    `on_suspect` is called when the supervisor should ask for the suspects. `check_connections` is
+    called with an instance that has an overdue answer and the time since when the answer is
+    pending; it checks the other connections to that instance.
     """
 
     def __init__(
@@ -44,12 +45,12 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def connection_broke(self, instance: str) -> None:
-        """A connection broke: the instance is to be asked at once whether it is still there."""
+        """Mark an instance as suspect at once, as a connection to it broke."""
         self._broken.add(instance)
         self._on_suspect()
 
     def watch(self) -> None:
-        """An exchange has begun: check until none is under way."""
+        """Check for overdue answers until no exchange is running."""
         if self._timer is None:
             self._timer = self._loop.call_later(ANSWER_OVERDUE_SECONDS, self._check)
 
@@ -64,7 +65,7 @@
         self._timer = self._loop.call_later(check.again_in, self._check)
 
     def suspects(self) -> list[str]:
-        """Instances whose connections broke, or that have owed an answer for a while; sorted."""
+        """Instances whose connections broke, or that are silent with an overdue answer; sorted."""
         now = self._loop.time()
         found, self._broken = self._broken, set()
         for connection, since in self._records.exchange_began_at.items():
@@ -80,6 +81,6 @@
         return view.last_answer_at if view is not None else otherwise
 
     def close(self) -> None:
-        """Check no more."""
+        """Stop the checks."""
         if self._timer is not None:
             self._timer.cancel()
--- a/src/orchidwind/promoted/group/pool_driver.py
+++ b/src/orchidwind/promoted/group/pool_driver.py
@@ -1,11 +1,11 @@
-"""Carries out what the connection pools of one group decide.
+"""Carries out the decisions of one group's connection pools.
 
-What for: `shared/core/pool` decides without I/O when to grant, open, close and refuse; this opens
-and closes the connections, answers the requests that wait, and reports to the pools what came of
-it.
+`shared/core/pool` decides without I/O when to grant, open, close and refuse connections. The driver
+opens and closes the connections, answers the waiting requests, and reports the results to the
+pools.
 
-Owns: the records of open connections, the pools, the requests that wait and the tasks that open
-connections. Relies on the connector's protocol (`connection_opener`).
+It owns the records of open connections, the pools, the waiting requests and the tasks that open
+connections. It depends on the connector's protocol (`connection_opener`).
 """
 
 from __future__ import annotations
@@ -16,8 +16,8 @@
 from orchidwind.promoted.core.group_state import GroupState
 from orchidwind.promoted.group.connection_opener import CONNECTION_LIMIT_MET, ConnectionOpener
 from orchidwind.promoted.group.connection_records import ConnectionRecords
+from orchidwind.promoted.group.connection_requests import ConnectionRequests
 from orchidwind.promoted.group.instance_pools import InstancePools
-from orchidwind.promoted.group.waiting_grants import WaitingGrants
 from orchidwind.promoted.ports import InstanceConnector
 from orchidwind.shared.core.concurrency_window import FIRST_WINDOW, fair_share
 from orchidwind.shared.core.errors import BackendConnectionLost, BackendRefused
@@ -31,17 +31,18 @@
 from orchidwind.shared.logs import log_event
 from orchidwind.shared.task_set import TaskSet
 
-# Shortest pause before a pool is looked at again, seconds. Bounds the wake-ups.
+# Shortest pause before a pool is checked again, seconds. Bounds the number of wake-ups.
 _SHORTEST_RETRY_SECONDS = 0.01
-# Seconds after which a connection is tried again where the instance had no room. Requests go
-# elsewhere meanwhile. An attempt that is turned away costs the instance nothing.
-_OPEN_AGAIN_SECONDS = 0.25
+# Seconds before another attempt to connect to an instance that was full. Requests use other
+# instances meanwhile. A refused attempt costs the instance nothing.
+_OPEN_RETRY_SECONDS = 0.25
 
 
 class PoolDriver:
-    """`on_suspect` gets instances whose connections broke, `on_unreachable` those without answer.
+    """Drives the connection pools of one group. Times are in seconds of the loop's clock.
 
-    Times are in seconds of the loop's clock.
+    `on_suspect` is called with an instance whose connection broke, `on_unreachable` with one to
+    which no connection can be opened.
     """
 
     def __init__(
@@ -59,14 +60,14 @@
             lambda instance: state.topology.primary_term(instance) > 0,
         )
         self.opener = ConnectionOpener(state.topology, connector)
-        self.waiting = WaitingGrants()
+        self.waiting = ConnectionRequests()
         self._state = state
         self._topology = state.topology
         self._on_suspect = on_suspect
         self._on_unreachable = on_unreachable
         self._loop = asyncio.get_running_loop()
         self._tasks = TaskSet()
-        # The next look at each pool, by instance.
+        # The timer of each pool's next check, by instance.
         self._timers: dict[str, asyncio.TimerHandle] = {}
 
     def _fair_window(self, instance: str) -> float:
@@ -77,11 +78,11 @@
         return instance in self._topology.instances and self._topology.is_near(instance)
 
     def pool_of(self, connection: int) -> InstancePool | None:
-        """The pool of an open connection; None once its instance is forgotten."""
+        """The pool of an open connection; None if it is closed or its instance was forgotten."""
         return self.pools.known(self.records.instance_of.get(connection, ""))
 
     def release(self, connection: int, reusable: bool) -> None:
-        """Give a connection back."""
+        """Return a connection to its pool."""
         instance = self.records.instance_of.get(connection)
         if instance is None:
             return
@@ -95,10 +96,10 @@
         self.perform(pool.release(connection, self._loop.time(), reusable))
 
     def close_resting(self, connection: int) -> None:
-        """Close a connection that a request may hold; its place is free.
+        """Close a connection at rest, which a request may hold, and free its place in the pool.
 
-        Who holds it finds it closed at its next message. A message that left meanwhile stays with
-        its own time limit, as it may have run.
+        The holder finds it closed at its next message. If a message was sent meanwhile, the
+        connection stays open until that message's own time limit, as the message may have run.
         """
         instance = self.records.instance_of.get(connection)
         if instance is None or connection in self.records.exchange_began_at:
@@ -107,10 +108,10 @@
         self.close_connection(connection)
         if pool is not None:
             self.perform(pool.lost(connection, self._loop.time()))
-            self.settle_later(pool)
+            self.schedule_tick(pool)
 
     def perform(self, effects: Iterable[PoolEffect]) -> None:
-        """Carry out what a pool has decided."""
+        """Carry out a pool's decisions."""
         for effect in effects:
             if isinstance(effect, Grant):
                 self._grant(effect)
@@ -126,9 +127,10 @@
             self._loop.call_soon(self.release, grant.connection, True)
 
     async def open_first(self, instance: str) -> None:
-        """Open a connection to an instance where there is none, and wait for it.
+        """Open a connection to an instance that has none, and wait for it.
 
-        Raises BackendRefused, BackendConnectionLost. Who stops waiting leaves it to be opened.
+        Raises BackendRefused, BackendConnectionLost. If the wait is cancelled, the connection is
+        still opened.
         """
         for effect in self.pools.of(instance).open_one():
             error = await asyncio.shield(self._tasks.start(self._open(effect)))
@@ -136,7 +138,7 @@
                 raise error
 
     async def _open(self, effect: OpenConnection) -> BackendRefused | BackendConnectionLost | None:
-        """Open a connection for a pool; why there is none, as it was logged."""
+        """Open a connection for a pool; returns the error, already logged, if that fails."""
         number, instance = effect.connection, effect.instance
         pool = self.pools.of(instance)
         try:
@@ -148,7 +150,7 @@
             limit_met = refused.sqlstate == CONNECTION_LIMIT_MET
             if limit_met:
                 self.opener.note_no_room(instance)
-                self._loop.call_later(_OPEN_AGAIN_SECONDS, self._open_again, pool)
+                self._loop.call_later(_OPEN_RETRY_SECONDS, self._retry_open, pool)
             self._open_failed(pool, number, limit_met)
             return refused
         except BackendConnectionLost as lost:
@@ -164,15 +166,15 @@
 
     def _open_failed(self, pool: InstancePool, connection: int, limit_met: bool) -> None:
         self.perform(pool.open_failed(connection, self._loop.time(), limit_met))
-        self.settle_later(pool)
+        self.schedule_tick(pool)
 
-    def _open_again(self, pool: InstancePool) -> None:
-        """Requests go elsewhere meanwhile, so nobody waits here: open one all the same."""
+    def _retry_open(self, pool: InstancePool) -> None:
+        """Open a connection though no request waits: requests use other instances meanwhile."""
         if not self.opener.closed and self.pools.known(pool.instance) is pool:
             self.perform(pool.open_one())
 
-    def settle_later(self, pool: InstancePool) -> None:
-        """Have a pool decide again when it wants to."""
+    def schedule_tick(self, pool: InstancePool) -> None:
+        """Schedule a pool's next decision for its deadline."""
         due = pool.deadline(self._loop.time())
         if due is None or self.opener.closed:
             return
@@ -182,13 +184,13 @@
             return
         if timer is not None:
             timer.cancel()
-        self._timers[pool.instance] = self._loop.call_at(at, self._settle, pool)
+        self._timers[pool.instance] = self._loop.call_at(at, self._tick, pool)
 
-    def _settle(self, pool: InstancePool) -> None:
+    def _tick(self, pool: InstancePool) -> None:
         self._timers.pop(pool.instance, None)
         self.perform(pool.tick(self._loop.time()))
         if pool.queue:
-            self.settle_later(pool)
+            self.schedule_tick(pool)
 
     def _lost_outside_exchange(self, connection: int) -> None:
         instance = self.records.instance_of.get(connection)
@@ -198,12 +200,12 @@
         self._on_suspect(instance)
 
     def close_connection(self, connection: int) -> None:
-        """Close a connection; the pool is not informed."""
+        """Close a connection without informing its pool."""
         self._state.connection_closed(connection)
         self.records.close(connection)
 
     def close(self) -> None:
-        """Close every connection."""
+        """Close every connection and cancel the tasks that open them."""
         self.opener.close()
         self._tasks.cancel()
         for connection in list(self.records.links):
--- a/src/orchidwind/promoted/group/promotion_lock_client.py
+++ b/src/orchidwind/promoted/group/promotion_lock_client.py
@@ -1,11 +1,11 @@
-"""Takes and gives back the promotion lock in the store.
+"""Takes and releases the promotion lock in the store.
 
-What for: one proxy at a time changes primaries. `core/promotion_lock.py` decides whether the lock
-may be taken and how long it counts; this reads and writes its record.
+The lock ensures that one proxy at a time changes primaries. `core/promotion_lock.py` decides
+whether the lock may be taken and how long it is valid; the client reads and writes its record.
 
-Owns: what this proxy saw of the lock, and its last promotion call. Relies on: a lock store that
-writes by compare-and-put and whose calls end in bounded time, and the rosters for which promotions
-were called under which tokens.
+The client owns this proxy's observations of the lock and its last promotion call. It depends on a
+lock store that writes by compare-and-put and returns in bounded time, and on the rosters, which
+record the fencing tokens of the promotions that were called.
 """
 
 from __future__ import annotations
@@ -37,43 +37,47 @@
 
 
 class PromotionLockClient:
-    """Takes and gives back the promotion lock; one change of primary at a time uses it."""
+    """Takes and releases the promotion lock.
+
+    `in_use` is held during a change of primary, so that this proxy runs one at a time.
+    """
 
     def __init__(
         self, node: str, store: PromotionLockStore, rosters: RosterKeeper, store_era: StoreEra
     ) -> None:
-        """`rosters` name the promotions that were called, with their tokens."""
+        """`rosters` record the promotions that were called, with their fencing tokens."""
         self._node = node
         self._store = store
         self._store_era = store_era
         self._rosters = rosters
-        self._called_at = float("-inf")
-        self._called_with = StoreRevision(0)
+        self._last_call_at = float("-inf")
+        self._last_call_token = StoreRevision(0)
         self._observer = LockObserver(node)
         self._loop = asyncio.get_running_loop()
         self.in_use = asyncio.Lock()
 
-    def saw(self, record: LockRecord) -> None:
-        """A watch shows the lock: from now on its holder's time runs.
+    def lock_observed(self, record: LockRecord) -> None:
+        """Handle the lock record from a watch: the holder's time limit runs from now.
 
-        Gains the same time once more, which would begin with the first attempt to take it.
+        Otherwise it would run only from this proxy's first attempt to take the lock, and a takeover
+        could need twice the time.
         """
         self._observer.saw(self._loop.time(), record.revision)
 
     def note_called(self, token: StoreRevision) -> None:
-        """A promotion was called under a token of this proxy."""
-        self._called_at = self._loop.time()
-        self._called_with = token
+        """Record that this proxy called a promotion under a fencing token."""
+        self._last_call_at = self._loop.time()
+        self._last_call_token = token
 
     def _would_alternate(self) -> bool:
-        """Whether another holder has promoted since this one did, a moment ago."""
-        since_call = self._loop.time() - self._called_at
-        return would_alternate(since_call, self._called_with, self._rosters.newest_token())
+        """Whether another proxy has promoted since this one did so shortly before."""
+        since_call = self._loop.time() - self._last_call_at
+        return would_alternate(since_call, self._last_call_token, self._rosters.newest_token())
 
     async def take(self) -> HeldLock | None:
-        """The lock, None where another holds it or the store does not answer."""
+        """Take the lock; None if another proxy holds it or the store does not answer."""
         if self._would_alternate():
-            log_event("promotion_lock_left", reason="another has promoted since this proxy did")
+            log_event("promotion_lock_left", reason="another proxy has promoted since")
             return None
         try:
             record = await self._store.read()
@@ -86,15 +90,16 @@
 
     def _decide(self, record: LockRecord) -> LockDecision:
         if not record.exists:
-            # Whoever held the lock of an earlier era took it before this one was seen.
+            # Any holder of an earlier store era's lock took it before the new era was seen.
             self._observer.saw(self._store_era.since, record.revision)
         called = self._rosters.promotion_called(record.revision)
         return self._observer.decide(self._loop.time(), record, called)
 
     async def create_free(self, absent: LockRecord) -> LockRecord:
-        """Create the lock of an era, free, once no right from an earlier era can be in use.
+        """Create a store era's lock, released, once no earlier era's lock or lease can be in use.
 
-        The record as it is then; raises PlatformError. Without it no lead lease counts.
+        Returns the resulting record. Raises PlatformError. Without a lock record no leadership
+        lease is valid.
         """
         if self._decide(absent) is LockDecision.WAIT:
             return absent
@@ -107,7 +112,7 @@
         return created
 
     def usable_seconds(self, held: HeldLock | None) -> float | None:
-        """For how many seconds calls may be begun under the lock; None: no longer."""
+        """Seconds for which calls may still be started under the lock; None if no longer."""
         return usable_seconds(held, self._loop.time(), self._store_era.current)
 
     async def _write(self, record: LockRecord) -> HeldLock | None:
@@ -117,15 +122,15 @@
         try:
             written = await self._store.write(wanted, create=not record.exists)
         except PlatformConflict:
-            # Another proxy was faster, and logs that it holds the lock; the caller logs that this
-            # one does not.
+            # Another proxy was faster and logs that it holds the lock. The failover runner logs
+            # that this proxy does not.
             return None
         except PlatformUncertain:
             return await self._read_back(sent_at, attempt)
         return held_lock(sent_at, written, attempt)
 
     async def _read_back(self, sent_at: float, attempt: str) -> HeldLock | None:
-        """The answer was lost: the record itself shows whether the call was carried out."""
+        """Find out by reading the record whether a write whose answer was lost succeeded."""
         for _ in range(LOCK_READ_BACKS):
             try:
                 record = await self._store.read()
@@ -138,7 +143,7 @@
         return None
 
     async def release(self, held: HeldLock) -> None:
-        """Give the lock back; if that fails, others take it over when its time has passed."""
+        """Release the lock; if that fails, others take it over once it has expired."""
         record = LockRecord(self._node, "", released=True, revision=held.token)
         try:
             await self._store.write(record, create=False)
--- a/src/orchidwind/promoted/group/resting_connections.py
+++ b/src/orchidwind/promoted/group/resting_connections.py
@@ -1,10 +1,10 @@
-"""Looks after connections that transactions hold while their callers think.
+"""Schedules checks of connections at rest: held by a transaction that runs no statement.
 
-Such a connection may fall silent for good: then its transaction is lost, and its caller is to get
-that answer when it returns, not after the time of a statement that nobody answers.
+Such a connection may become permanently silent, and its transaction is then lost. With the checks,
+the caller is told so at its next statement at once, instead of after that statement's time-out.
 
-Owns: the timer of the checks and which instances are being checked. When a connection is asked is
-said in `core/instance_silence`; how, in `silent_connections`.
+Owns the timer of the checks and the set of instances being checked. `core/instance_silence` defines
+when a connection is queried; `silent_connections` sends the queries.
 """
 
 from __future__ import annotations
@@ -21,10 +21,10 @@
 
 
 class RestingConnections:
-    """The held connections of one group.
+    """Checks of the connections at rest of one group.
 
-    `close_silent_resting` asks those at an instance that have delivered nothing since a time, in
-    seconds of the loop's clock.
+    `close_silent_resting` checks the connections at rest to an instance that have delivered nothing
+    since a time, in seconds of the loop's clock.
     """
 
     def __init__(
@@ -37,12 +37,12 @@
         self._checks: dict[str, asyncio.Task[None]] = {}
 
     def watch(self) -> None:
-        """A request takes a connection: check from now on until none is held."""
+        """Check periodically until no connection is held; called when a request takes one."""
         if self._timer is None:
             self._timer = self._loop.call_later(REST_CHECK_SECONDS, self._check_all)
 
     def check(self, instance: str, since: float) -> None:
-        """A connection to an instance may be silent: ask the held ones that rest there, too."""
+        """Check the connections at rest to an instance, as a connection to it may be silent."""
         if instance in self._checks or not self._connections.resting_silent(instance, since):
             return
         check = self._loop.create_task(self._check(instance, since))
@@ -52,7 +52,7 @@
     async def _check(self, instance: str, since: float) -> None:
         try:
             await self._close_silent_resting(instance, since)
-        except Exception as error:  # a fault of this program must not end the checks
+        except Exception as error:  # a programming error must not end the checks
             log_event(
                 "rest_not_checked", level=logging.ERROR, instance=instance, reason=repr(error)
             )
@@ -66,7 +66,7 @@
             self.watch()
 
     def close(self) -> None:
-        """Check no more."""
+        """Stop all checks."""
         if self._timer is not None:
             self._timer.cancel()
         for check in list(self._checks.values()):
--- a/src/orchidwind/promoted/group/roster_keeper.py
+++ b/src/orchidwind/promoted/group/roster_keeper.py
@@ -1,11 +1,11 @@
-"""Keeps, in the store, which instances may hold commits of each group.
+"""Keeps each group's roster in the store: the instances that may hold acknowledged commits.
 
-A proxy that starts cannot have seen who left before; after the loss of all proxies none can. So
-each instance that is listed is written to its group's roster, and taken off only when a proxy has
-seen it gone for as long as it may matter (`core/confirming_instances.py`).
+A proxy that has just started cannot know which instances left earlier, and after the loss of all
+proxies none can. Therefore each listed instance is written to its group's roster, and removed only
+after a proxy has seen it gone for long enough (`core/confirming_instances.py`).
 
-Owns: the roster of each group as this proxy knows it (`core/roster.py`). Relies on: a watch that
-calls `listed` and `changed`, and a store that writes by compare-and-put.
+The keeper owns this proxy's copy of the rosters (`core/roster.py`). It depends on a watch that
+calls `listed` and `changed`, and on a store that writes by compare-and-put.
 """
 
 from __future__ import annotations
@@ -23,53 +23,56 @@
 from orchidwind.shared.core.errors import PlatformError, PlatformUncertain
 from orchidwind.shared.logs import log_event
 
-# Seconds between two checks of what is to be written. An instance that is listed, confirms
-# and leaves in less, while all proxies lose power, is missed (docs/DECISIONS.md).
+# Seconds between two checks for roster changes to write. An instance that is listed, confirms a
+# commit and leaves within this time, while all proxies lose power, is missed (docs/DECISIONS.md).
 _CHECK_INTERVAL_SECONDS = 0.5
-# A writer waits for a random part of this, in seconds. Proxies see the same change at the
-# same time, and the first to write spares the others.
+# A proxy waits for a random part of this many seconds before it writes. All proxies see a change
+# at the same time, and once the first has written it, the others need not.
 _JITTER_SECONDS = 0.4
 
 
 class RosterKeeper:
-    """Follows the rosters and brings them up to date with what this proxy sees."""
+    """Follows the rosters in the store and updates them from this proxy's views."""
 
     def __init__(self, groups: Mapping[str, GroupService], store: RosterStore) -> None:
         self.known = False
         self._groups = groups
         self._store = store
         self._rosters: dict[str, KnownRoster] = {}
-        # Of the store, as of the last whole reading.
+        # The store era of the last full listing.
         self._era = 0
         self._loop = asyncio.get_running_loop()
 
     def listed(self, listing: Listing[Roster]) -> bool:
-        """All rosters, read freshly: from now on nobody can have left unknown to this proxy."""
+        """Apply a full listing of all rosters. Always returns True.
+
+        From now on no instance can leave without this proxy knowing of it.
+        """
         self._era = listing.revision.era
         for roster in listing.items:
-            self._take(roster)
+            self._apply_roster(roster)
         for known in self._rosters.values():
             known.absent(self._era)
         self.known = True
         return True
 
     def changed(self, changes: Changes[Roster]) -> None:
-        """Rosters that changed."""
+        """Apply changed rosters."""
         for roster in changes.changed:
-            self._take(roster)
+            self._apply_roster(roster)
 
-    def _take(self, roster: Roster) -> None:
-        self._of(roster.group).take(roster)
+    def _apply_roster(self, roster: Roster) -> None:
+        self._known_roster(roster.group).take(roster)
         self.apply(roster.group)
 
-    def _of(self, group: str) -> KnownRoster:
+    def _known_roster(self, group: str) -> KnownRoster:
         known = self._rosters.get(group)
         if known is None:
             known = self._rosters[group] = KnownRoster(group, self._era)
         return known
 
     def apply(self, group: str) -> None:
-        """Pass a roster on to its group, which may be newer than the roster."""
+        """Pass a roster on to its group, which may have been created after the roster was read."""
         service = self._groups.get(group)
         if group in self._rosters and service is not None:
             roster = self._rosters[group].known
@@ -77,11 +80,11 @@
             service.topology.promotion_read(roster.last_promotion, self._loop.time())
 
     def promotion_called(self, token: StoreRevision) -> bool:
-        """Whether a promotion may have been called under a fencing token, of any group."""
+        """Whether a promotion of any group may have been called under a fencing token."""
         return any(record.token == token for record in self._last_promotions())
 
     def newest_token(self) -> StoreRevision:
-        """The fencing token of the last promotion of any group that is known; 0 where none is."""
+        """The fencing token of the last known promotion of any group; 0 if there is none."""
         tokens = [record.token for record in self._last_promotions()]
         return max(tokens, default=StoreRevision(0))
 
@@ -92,11 +95,11 @@
                 yield record
 
     async def record_promotion(self, group: str, record: PromotionRecord) -> bool:
-        """Write down a promotion before it is called; whether it surely is in the store."""
-        wanted = replace(self._of(group).known, last_promotion=record)
+        """Record a promotion before it is called; returns whether it is certainly in the store."""
+        wanted = replace(self._known_roster(group).known, last_promotion=record)
         try:
-            self._take(await self._store.write(wanted, create=wanted.revision.in_era == 0))
-        except PlatformError as error:  # a conflict, too: the caller reads the roster anew
+            self._apply_roster(await self._store.write(wanted, create=wanted.revision.in_era == 0))
+        except PlatformError as error:  # also on a conflict: the caller reads the roster again
             log_event(
                 "promotion_not_recorded",
                 group=group,
@@ -108,7 +111,7 @@
         return True
 
     async def run(self) -> None:
-        """Write what differs."""
+        """Write rosters that differ from this proxy's views, until cancelled."""
         while True:
             await asyncio.sleep(_CHECK_INTERVAL_SECONDS)
             if not self.known or not any(self._wanted(name) for name in self._groups):
@@ -120,14 +123,14 @@
                     await self._write(wanted)
 
     def _wanted(self, group: str) -> Roster | None:
-        """The roster as it should be, None where it is so."""
-        return self._of(group).wanted(self._groups[group].topology.confirming.roster)
+        """The roster to write, or None if the stored one is up to date."""
+        return self._known_roster(group).wanted(self._groups[group].topology.confirming.roster)
 
     async def _write(self, wanted: Roster) -> None:
         try:
             written = await self._store.write(wanted, create=wanted.revision.in_era == 0)
-        except PlatformError as error:  # a conflict, too: the watch brings what is there now
+        except PlatformError as error:  # also on a conflict: the watch delivers the new roster
             log_event("roster_not_written", group=wanted.group, reason=str(error))
             return
         log_event("roster_written", group=wanted.group, members=",".join(written.members))
-        self._take(written)
+        self._apply_roster(written)
--- a/src/orchidwind/promoted/group/shared_query.py
+++ b/src/orchidwind/promoted/group/shared_query.py
@@ -1,8 +1,8 @@
-"""A query that serves all requests which came before it was sent.
+"""A query whose answer is shared by all requests that arrived before it was sent.
 
-What for: a proof must have begun after the request that it serves; with this, any number of
-requests cost two queries at most at a time. Owns: the query under way and the next one. Relies on:
-a `send` that ends in bounded time.
+A proof must start after the request that it serves. With shared queries, any number of requests
+need at most two queries at a time: the one that is running and the next one. `send` must return in
+bounded time.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class SharedQuery(Generic[Answer]):
-    """At most one query is under way, and one more waits for its turn."""
+    """Runs at most one query at a time, with at most one more queued."""
 
     def __init__(self, send: Callable[[], Awaitable[Answer]]) -> None:
         self._send = send
@@ -24,7 +24,7 @@
         self._next: asyncio.Task[Answer] | None = None
 
     def join(self) -> asyncio.Task[Answer]:
-        """A query that is sent after now."""
+        """A query that is sent after this call."""
         if self._under_way is None or self._under_way.done():
             self._under_way = self._loop.create_task(self._ask(None))
             return self._under_way
@@ -39,7 +39,7 @@
         return await self._send()
 
     def close(self) -> None:
-        """Give up what is under way."""
+        """Cancel the running and the queued query."""
         for query in (self._under_way, self._next):
             if query is not None:
                 query.cancel()
--- a/src/orchidwind/promoted/group/silent_connections.py
+++ b/src/orchidwind/promoted/group/silent_connections.py
@@ -1,9 +1,9 @@
-"""Finds and closes the server connections of one group that have fallen silent.
+"""Detects and closes silent server connections of one group.
 
-Owns: the checks of idle connections, of those that transactions hold at rest, and of those on which
-reads run; one line and one count for each that is found. The rule and its times are in
-`core/instance_silence`. Relies on `StatusCalls` for a new connection to compare with: where that
-does not answer either, the instance may be at fault and no connection counts as silent.
+It checks idle connections, connections that transactions hold at rest, and connections on which
+reads run, and reports each silent one with one log line and one count. The rules and time limits
+are in `core/instance_silence`. `StatusCalls` opens a new connection for comparison: if that does
+not answer either, the instance may be at fault and no connection counts as silent.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 
 
 class SilentConnections:
-    """Times are in seconds of the loop's clock."""
+    """Checks the connections of one group. Times are in seconds of the loop's clock."""
 
     def __init__(
         self,
@@ -56,7 +56,7 @@
         self.resting = RestingConnections(connections, self.close_silent_resting)
 
     def check(self, instance: str, since: float) -> None:
-        """An exchange has had no answer since a time: its connection may not be the only one."""
+        """Check the connections to an instance, as an exchange has had no answer since a time."""
         now = self._loop.time()
         if not self._check_pauses.due(instance, now):
             return
@@ -70,24 +70,26 @@
         reads = self._writes.reads_at(instance, self._loop.time() - ANSWER_OVERDUE_SECONDS)
         for connection in reads:
             decision = "its read goes elsewhere, its transaction is lost"
-            self._found(ConnectionKind.INSTANCE_RUNNING, instance, connection, decision, owed=1)
-        self._end(reads)
+            self._report_silent(
+                ConnectionKind.INSTANCE_RUNNING, instance, connection, decision, owed=1
+            )
+        self._close_links(reads)
 
     def end_reads(self, instance: str) -> None:
-        """End what may run elsewhere, as an instance does not answer.
+        """End the reads at an unreachable instance, as they can be retried elsewhere.
 
-        A write that has left may still be answered, so it goes on.
+        A write that was sent may still be answered, so it continues.
         """
-        self._end(self._writes.reads_at(instance, self._loop.time()))
+        self._close_links(self._writes.reads_at(instance, self._loop.time()))
 
-    def _end(self, reads: list[int]) -> None:
+    def _close_links(self, reads: list[int]) -> None:
         for connection in reads:
             self._connections.records.links[connection].close()
 
     async def _close_silent_idle(self, instance: str, since: float) -> int:
-        """Close idle connections that stay silent while a new one answers; how many.
+        """Close idle connections that stay silent while a new one answers; returns how many.
 
-        Only those that have delivered nothing since a time are asked.
+        Only connections that have delivered nothing since a time are queried.
         """
         taken = self._connections.borrow_idle_silent(instance, since)
         if not taken:
@@ -99,23 +101,23 @@
         silent: list[int] = []
         try:
             async with asyncio.timeout(STATUS_SECONDS):
-                await self._calls.ask_anew(instance, status_query)
+                await self._calls.ask_on_new_connection(instance, status_query)
                 await asyncio.wait(asking, timeout=SILENT_AFTER_NEW_SECONDS)
             silent = _unanswered(asking)
             for connection in silent:
-                self._found(ConnectionKind.INSTANCE_IDLE, instance, connection, "close it")
+                self._report_silent(ConnectionKind.INSTANCE_IDLE, instance, connection, "close it")
         except (BackendRefused, BackendConnectionLost, TimeoutError) as error:
             log_event("silence_not_confirmed", instance=instance, reason=repr(error))
             await asyncio.wait(asking, timeout=STATUS_SECONDS)
         finally:
-            # A connection whose query is cancelled is closed as it goes back to the pool.
+            # A connection whose query is cancelled is closed when it returns to the pool.
             await _cancel(asking)
         return len(silent)
 
     async def close_silent_resting(self, instance: str, since: float) -> int:
-        """Close held connections that rest and stay silent while a new one answers; how many.
+        """Close connections held at rest that stay silent while a new one answers.
 
-        Only those that have delivered nothing since a time are asked.
+        Returns how many. Only connections that have delivered nothing since a time are queried.
         """
         resting = self._connections.resting_silent(instance, since)
         if not resting:
@@ -140,7 +142,7 @@
         if not waiting:
             return []
         async with asyncio.timeout(STATUS_SECONDS):
-            await self._calls.ask_anew(instance, status_query)
+            await self._calls.ask_on_new_connection(instance, status_query)
         left = resting_answer_time_left(asked_at, self._loop.time())
         await asyncio.wait(waiting, timeout=left)
         return _unanswered(asking)
@@ -148,27 +150,27 @@
     def _close_resting(self, instance: str, connection: int) -> None:
         runs = connection in self._connections.records.exchange_began_at
         decision = "its transaction is lost"
-        self._found(
+        self._report_silent(
             ConnectionKind.INSTANCE_RESTING, instance, connection, decision, owed=1 if runs else 0
         )
         self._connections.close_resting(connection)
 
     async def _ask_resting(self, connection: int) -> None:
-        """Ask on a connection that somebody else holds, whatever the answer; it stays theirs."""
+        """Send a status query on a connection that a request holds and keeps; ignore the answer."""
         link = self._connections.records.links.get(connection)
         if link is None:
             return
         try:
             await link.status()
         except BackendRefused:
-            # Silent: the instance has no room for the query, but the connection delivers.
+            # Not logged: the instance refused the query, but the connection works.
             pass
         except BackendConnectionLost:
-            # Silent: who holds the connection learns of it and logs it.
+            # Not logged here: the request that holds the connection notices and logs the loss.
             return
         self._connections.records.note_delivered(connection)
 
-    def _found(
+    def _report_silent(
         self,
         kind: ConnectionKind,
         instance: str,
@@ -185,22 +187,22 @@
         )
 
     def forget(self, instance: str) -> None:
-        """An instance left long ago."""
+        """Drop the state of an instance that left long ago."""
         self._check_pauses.forget(instance)
 
     def close(self) -> None:
-        """Check no more."""
+        """Stop all checks."""
         self._tasks.cancel()
         self.resting.close()
 
 
 def _unanswered(asking: Mapping[asyncio.Task[Answer], int]) -> list[int]:
-    """Connections whose query has not ended, in the order in which they were asked."""
+    """Connections whose query is still pending, in the order in which they were queried."""
     return [connection for task, connection in asking.items() if not task.done()]
 
 
 async def _cancel(asking: Iterable[asyncio.Task[Answer]]) -> None:
-    """End queries. Their errors need no line: a connection that broke is closed by its pool."""
+    """Cancel queries. Errors are not logged: the pool closes a connection that broke."""
     for task in asking:
         task.cancel()
     await asyncio.gather(*asking, return_exceptions=True)
--- a/src/orchidwind/promoted/group/status_calls.py
+++ b/src/orchidwind/promoted/group/status_calls.py
@@ -1,8 +1,8 @@
 """Status and control calls to the instances of one promoted group.
 
-Owns: one connection an instance that serves such calls alone, beside the pooled ones, and the time
-limits of the calls (`core/instance_silence` has the figures). Relies on the pools for idle
-connections. An instance that does not answer is reported as unreachable.
+Calls use idle pooled connections, or one dedicated status connection for each instance, which this
+module owns. The time limits are in `core/instance_silence`. An instance that does not answer is
+reported as unreachable.
 """
 
 from __future__ import annotations
@@ -32,12 +32,12 @@
 
 
 def status_query(link: InstanceLink) -> Coroutine[Any, Any, InstanceStatus]:
-    """The call that changes nothing."""
+    """The status call, which changes nothing at the instance."""
     return link.status()
 
 
 class StatusCalls:
-    """Makes the calls on idle connections, or on the one that serves them alone."""
+    """Makes the calls on idle connections, or on a dedicated status connection."""
 
     def __init__(
         self,
@@ -55,22 +55,21 @@
         self.links: dict[str, InstanceLink] = {}
 
     async def ask(
-        self, instance: str, call: StatusCall, hurried: bool = False, repeatable: bool = False
+        self, instance: str, call: StatusCall, urgent: bool = False, repeatable: bool = False
     ) -> InstanceStatus | None:
-        """Make a call; None where no status came in time.
+        """Make a call; None if no status arrives in time.
 
-        A `repeatable` call changes nothing, so it is made on a new connection, too, where an idle
-        one is silent.
-        `hurried` gives an instance that is not expected to answer less time, as a change of
-        primary waits for it.
+        A `repeatable` call changes nothing, so it is repeated on a new connection if the first one
+        is silent. `urgent` shortens the time limit of an instance that is unreachable already, as a
+        change of primary waits for it.
         """
         asked_at = self._loop.time()
         make_call = self._ask_hedged if repeatable else self._ask_on_some_link
         try:
-            async with asyncio.timeout(self._time_limit(instance, hurried)):
+            async with asyncio.timeout(self._time_limit(instance, urgent)):
                 status = await make_call(instance, call)
         except BackendRefused as refused:
-            self._refused(instance, refused)
+            self._handle_refusal(instance, refused)
             return None
         except (BackendConnectionLost, TimeoutError) as error:
             self.close_link(instance)
@@ -79,37 +78,37 @@
             return None
         return replace(status, instance=instance, asked_at=asked_at)
 
-    def _time_limit(self, instance: str, hurried: bool) -> float:
+    def _time_limit(self, instance: str, urgent: bool) -> float:
         view = self._topology.instances.get(instance)
         unreachable = view is not None and view.unreachable_since is not None
         ever_answered = view is None or view.last_answer_at > float("-inf")
-        return status_time_limit(ever_answered, unreachable, hurried)
+        return status_time_limit(ever_answered, unreachable, urgent)
 
-    def _refused(self, instance: str, refused: BackendRefused) -> None:
+    def _handle_refusal(self, instance: str, refused: BackendRefused) -> None:
         if refused.sqlstate == OTHER_INSTANCE:
-            # What answers is not the instance, which may hold up no change by that.
+            # Another instance answers at the address; this must not delay a change of primary.
             log_event("instance_replaced", instance=instance, reason=str(refused))
             self._on_unreachable(instance)
             return
-        # No line: a full instance refuses often, and a refusal shows that it is there.
+        # Not logged: a full instance refuses often, and a refusal shows that it is alive.
         self._topology.answered(instance, self._loop.time())
         if refused.sqlstate == CONNECTION_LIMIT_MET:
             self._connections.opener.note_no_room(instance)
 
     async def _ask_hedged(self, instance: str, call: StatusCall) -> InstanceStatus:
-        """Ask on some link; where that stays silent, on a new one beside it."""
+        """Make a call; if it gets no answer, repeat it in parallel on a new connection."""
         first = self._loop.create_task(self._ask_on_some_link(instance, call))
         second: asyncio.Task[InstanceStatus] | None = None
         try:
             await asyncio.wait({first}, timeout=STATUS_HEDGE_SECONDS)
             if first.done() or not self._may_hedge(instance):
                 return await first
-            second = self._loop.create_task(self.ask_anew(instance, call))
+            second = self._loop.create_task(self.ask_on_new_connection(instance, call))
             await asyncio.wait({first, second}, return_when=asyncio.FIRST_COMPLETED)
             if first.done() and first.exception() is None:
                 return first.result()
             if second.done() and second.exception() is None:
-                self._found_silent(instance)
+                self._report_silent(instance)
                 return second.result()
             return await (second if first.done() else first)
         finally:
@@ -118,7 +117,7 @@
                     task.cancel()
 
     def _may_hedge(self, instance: str) -> bool:
-        """Whether a new connection may show more; one costs an instance a slot for a while."""
+        """Whether to hedge on a new connection, which takes a slot of the instance for a while."""
         now = self._loop.time()
         connected = instance in self._connections.records.connected_instances
         if not connected or not self._hedge_pauses.due(instance, now):
@@ -126,7 +125,7 @@
         self._hedge_pauses.begin(instance, now)
         return True
 
-    def _found_silent(self, instance: str) -> None:
+    def _report_silent(self, instance: str) -> None:
         self._on_silent(
             SilentConnection(
                 ConnectionKind.INSTANCE_STATUS,
@@ -139,8 +138,11 @@
             )
         )
 
-    async def ask_anew(self, instance: str, call: StatusCall) -> InstanceStatus:
-        """Ask on a new connection, which then serves status calls; raises as `InstanceLink`."""
+    async def ask_on_new_connection(self, instance: str, call: StatusCall) -> InstanceStatus:
+        """Make a call on a new connection, which becomes the instance's status connection.
+
+        Raises as `InstanceLink`.
+        """
         self.close_link(instance)
         return await call(await self._new_link(instance))
 
@@ -150,26 +152,32 @@
             try:
                 return await self.ask_on_borrowed(borrowed, call)
             except BackendConnectionLost:
-                # Silent, as it may have been an old connection of an instance that is there: the
-                # next attempt shows which.
+                # Not logged: a stale connection of a live instance may have broken; the next
+                # attempt shows whether the instance answers.
                 pass
         link = self.links.get(instance)
         if link is not None:
             try:
                 return await call(link)
             except BackendConnectionLost:
-                # Silent for the same reason; it is replaced by a new one.
+                # Not logged for the same reason; a new connection replaces it.
                 self.close_link(instance)
         return await call(await self._new_link(instance))
 
     async def _idle_connection(self, instance: str) -> int | None:
-        """An idle connection; the first one to an instance is opened and stays for requests."""
+        """Take an idle connection; None if there is none.
+
+        If the instance has no connection yet, one is opened, which stays in the pool for requests.
+        """
         if instance not in self.links:
             await self._connections.open_first(instance)
         return self._connections.borrow_idle(instance)
 
     async def ask_on_borrowed(self, connection: int, call: StatusCall) -> InstanceStatus:
-        """Ask on a connection taken from the pool and give it back; raises as `InstanceLink`."""
+        """Make a call on a connection taken from the pool, and return it to the pool.
+
+        Raises as `InstanceLink`.
+        """
         records = self._connections.records
         records.exchange_began_at[connection] = self._loop.time()
         answered = False
@@ -185,7 +193,7 @@
             self._connections.release(connection, answered)
 
     async def _new_link(self, instance: str) -> InstanceLink:
-        """A new connection; where another call has just opened one too, that one is used."""
+        """Open the status connection; if another call has just opened one, that one is used."""
         link = await self._connections.opener.open(instance, lambda: None)
         other = self.links.get(instance)
         if other is not None:
@@ -195,17 +203,17 @@
         return link
 
     def close_link(self, instance: str) -> None:
-        """Close the connection of an instance that serves such calls alone."""
+        """Close the status connection of an instance."""
         link = self.links.pop(instance, None)
         if link is not None:
             link.close()
 
     def forget(self, instance: str) -> None:
-        """An instance left long ago."""
+        """Drop the state of an instance that left long ago."""
         self.close_link(instance)
         self._hedge_pauses.forget(instance)
 
     def close(self) -> None:
-        """Close all of them."""
+        """Close all status connections."""
         for instance in list(self.links):
             self.close_link(instance)
--- a/src/orchidwind/promoted/group/view_changes.py
+++ b/src/orchidwind/promoted/group/view_changes.py
@@ -1,8 +1,7 @@
-"""What the directory and the instances of one group report, brought into its view.
+"""Applies reports from the directory and from a group's instances to the view of the group.
 
-Owns: the log lines of these changes, and what follows from a new primary: its proofs and commits
-count as had, and the last commits under the one before are logged. Relies on `core/topology` for
-what the reports mean.
+Logs these changes. A change of primary also closes the circuit breakers for leadership proofs and
+commits, and logs the last commits of earlier terms. `core/topology` interprets the reports.
 """
 
 from __future__ import annotations
@@ -21,7 +20,7 @@
 
 
 class ViewChanges:
-    """`on_change` is called after each change that lets requests or the supervisor decide anew."""
+    """Applies reports. `on_change` is called when requests and the supervisor must re-evaluate."""
 
     def __init__(
         self,
@@ -37,7 +36,7 @@
         self._loop = asyncio.get_running_loop()
 
     def entry_changed(self, entry: DirectoryEntry) -> None:
-        """The directory lists an instance."""
+        """Apply a directory entry that was added or changed."""
         known = self._topology.instances.get(entry.instance)
         claims = self._topology.entry_changed(entry)
         if claims or known is None or known.entry.draining != entry.draining:
@@ -52,7 +51,10 @@
         self._on_change()
 
     def entry_gone(self, instance: str, removal_unseen: bool = False) -> None:
-        """The directory no longer lists an instance; `removal_unseen`: it may come back."""
+        """Apply the end of a directory entry.
+
+        `removal_unseen` means that no removal was observed, so the instance may come back.
+        """
         self._topology.entry_gone(instance, self._loop.time(), removal_unseen)
         log_event(
             "instance_gone",
@@ -63,7 +65,7 @@
         self._on_change()
 
     def life_ended(self, instance: str, next_life: str) -> None:
-        """An instance has started anew, without what it held."""
+        """Apply that an instance restarted as a new incarnation without its earlier log."""
         self._topology.life_ended(instance, self._loop.time())
         log_event(
             "instance_started_anew",
@@ -71,12 +73,12 @@
             group=self._topology.settings.name,
             instance=instance,
             next_life=next_life,
-            decision="its log counts as lost, its connections are closed",
+            decision="log considered lost, connections closed",
         )
         self._on_change()
 
     def take_status(self, status: InstanceStatus) -> None:
-        """An instance reported its status."""
+        """Apply a status that an instance reported."""
         now = self._loop.time()
         before = self._topology.primary(now)
         self._topology.take_status(status)
@@ -87,7 +89,7 @@
     def _primary_changed(self, primary: PrimaryView | None, reported_by: str) -> None:
         self._breakers.succeeded(Dependency.LEAD_PROOF, Dependency.COMMIT)
         if primary is not None:
-            self._commits.log_before(primary.term)
+            self._commits.log_commits_before(primary.term)
         log_event(
             "primary_changed",
             group=self._topology.settings.name,
--- a/src/orchidwind/promoted/group/waiting_requests.py
+++ b/src/orchidwind/promoted/group/waiting_requests.py
@@ -1,8 +1,8 @@
 """The requests of one group that wait for a primary or an instance.
 
-Owns: their order. A request keeps its place from its arrival to its end, also where it is woken in
-vain, so that all go on in the order in which they came. Relies on `wake` being called whenever the
-view of the group changes.
+A request keeps its place in the queue from its arrival to its end, even if it is woken and finds no
+instance, so that all requests continue in the order of their arrival. `wake` must be called
+whenever the view of the group changes.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class WaitingRequests:
-    """`on_wait` is called each time a request begins to wait."""
+    """The waiting requests. `on_wait` is called each time a request starts to wait."""
 
     def __init__(self, breakers: GroupBreakers, on_wait: Callable[[], None]) -> None:
         self._breakers = breakers
@@ -28,7 +28,7 @@
         self._wakers: dict[object, asyncio.Future[None]] = {}
 
     def wake(self) -> None:
-        """The view has changed: all try again."""
+        """Let all waiting requests try again, as the view has changed."""
         for waker in self._wakers.values():
             if not waker.done():
                 waker.set_result(None)
@@ -36,10 +36,10 @@
     async def wait_for(
         self, find: Callable[[], Found | None], deadline: float, kind: ErrorKind
     ) -> Found:
-        """Wait until `find` finds something.
+        """Wait until `find` returns a value other than None, and return it.
 
-        Raises RequestError of `kind` at the deadline, a time of the loop's clock in seconds, or at
-        once where nothing has been found for long.
+        Raises RequestError of `kind` at the deadline (a time of the loop's clock in seconds), or at
+        once if the circuit breaker for instances is open.
         """
         request = object()
         try:
--- a/tests/promoted/test_connection_logs.py
+++ b/tests/promoted/test_connection_logs.py
@@ -1,4 +1,4 @@
-"""Each silent connection found has one line and one count, and `explain` shows it."""
+"""Each detected silent connection is logged and counted once, and `explain` shows it."""
 
 import asyncio
 import logging
@@ -25,7 +25,7 @@
 
 
 def found(caplog, kind):
-    """The lines that tell of a silent connection of a kind."""
+    """The log records that report a silent connection of a kind."""
     lines = [record for record in caplog.records if record.message == "connection_silent"]
     assert all(hasattr(line, field) for line in lines for field in FIELDS)
     return [line for line in lines if line.connection == kind.value]
@@ -58,7 +58,7 @@
     return total
 
 
-def test_a_silent_link_is_told_once_with_the_command_that_was_owed(caplog):
+def test_a_silent_link_is_logged_once_with_its_unanswered_command(caplog):
     caplog.set_level("INFO", logger="orchidwind")
 
     async def scenario(system, front):
@@ -74,14 +74,14 @@
         assert 0.4 <= line.silent_for < 0.5
         assert line.opened_for >= line.silent_for + 0.2
         await asyncio.sleep(2.0)
-        told = found(caplog, ConnectionKind.PEER_LINK)
-        assert len(told) == len({line.to for line in told}) <= len(silenced)
-        assert counts(system) == {"peer_link": len(told)}
+        reported = found(caplog, ConnectionKind.PEER_LINK)
+        assert len(reported) == len({line.to for line in reported}) <= len(silenced)
+        assert counts(system) == {"peer_link": len(reported)}
 
     with_front(scenario)
 
 
-def test_a_transaction_that_fell_silent_at_rest_is_told_once(caplog):
+def test_a_connection_silent_at_rest_is_logged_once(caplog):
     caplog.set_level("INFO", logger="orchidwind")
 
     async def scenario(system, front):
@@ -102,7 +102,7 @@
     with_front(scenario)
 
 
-def test_idle_and_running_connections_are_told_each_with_its_kind(caplog):
+def test_idle_and_running_connections_are_logged_with_their_kinds(caplog):
     caplog.set_level("INFO", logger="orchidwind")
 
     async def scenario(system, front):
@@ -118,14 +118,14 @@
         (running,) = found(caplog, ConnectionKind.INSTANCE_RUNNING)
         assert running.owed == 1
         assert found(caplog, ConnectionKind.INSTANCE_IDLE)
-        told = counts(system)
-        assert told["instance_running"] == 1
-        assert told["instance_idle"] == len(found(caplog, ConnectionKind.INSTANCE_IDLE))
+        reported = counts(system)
+        assert reported["instance_running"] == 1
+        assert reported["instance_idle"] == len(found(caplog, ConnectionKind.INSTANCE_IDLE))
 
     with_front(scenario)
 
 
-def test_a_swallowed_call_is_told_and_counted(caplog):
+def test_an_unanswered_call_is_logged_and_counted(caplog):
     caplog.set_level("INFO", logger="orchidwind")
 
     async def work():
@@ -148,7 +148,7 @@
     assert (line.to, line.group) == ("i-1", "ledger")
 
 
-def test_a_refused_call_is_no_silent_connection():
+def test_a_refused_call_is_not_a_silent_connection():
     async def work():
         state = object_store.StoreState(refuse_with=503)
         server = object_store.listen(state, HOST, 0)
@@ -192,13 +192,13 @@
     }
     other = [silent("peer_link", "front-2")]
     write_log(front, "front-1", [*other, ("request_failed", failed)])
-    told = story(read_logs([home, front]), "a1")
-    assert [line.split()[0] for line in told] == ["before:", "before:", "request:"]
-    assert "connection=instance_running" in told[0]
-    assert "connection=peer_link" in told[1]
+    reported = story(read_logs([home, front]), "a1")
+    assert [line.split()[0] for line in reported] == ["before:", "before:", "request:"]
+    assert "connection=instance_running" in reported[0]
+    assert "connection=peer_link" in reported[1]
 
 
-def test_explain_looks_back_as_far_as_a_transaction_may_have_rested(tmp_path):
+def test_explain_looks_back_as_far_as_a_transaction_may_be_idle(tmp_path):
     path = tmp_path / "proxy.log"
     lines = []
     for second, text in (
@@ -209,6 +209,6 @@
         at = f"2026-01-01T00:00:{second:02}.000000+00:00"
         lines.append(f"at={at} level=INFO node=front-1 {text}\n")
     path.write_text("".join(lines))
-    told = story(read_logs([path]), "a1")
-    assert len(told) == 2
-    assert "connection=instance_resting" in told[0]
+    reported = story(read_logs([path]), "a1")
+    assert len(reported) == 2
+    assert "connection=instance_resting" in reported[0]
--- a/tests/promoted/test_instance_connections.py
+++ b/tests/promoted/test_instance_connections.py
@@ -1,4 +1,7 @@
-"""Open connections to instances that fall silent for good while new ones work, on virtual time."""
+"""Established connections to instances become permanently silent while new ones work.
+
+The tests run in virtual time.
+"""
 
 import asyncio
 
@@ -14,17 +17,18 @@
 from orchidwind_bench.promoted.simulation.world import ExpectedRequest
 
 INSTANCES = ("i-0", "i-1", "i-2")
-# Silence is noticed after 0.25 s; then writes go on within 0.3 s. The rest is between two writes.
+# Silence is detected after 0.25 s, and writes continue within another 0.3 s. The remaining 0.1 s
+# covers the interval between two writes.
 LONGEST_GAP_SECONDS = 0.25 + 0.3 + 0.1
-EVERY_SECONDS = 0.05
+WRITE_INTERVAL_SECONDS = 0.05
 WRITING_SECONDS = 4.0
 SILENT_AFTER = 1.0
-# Less than the simulated configuration lets a transaction rest (3 s).
-RESTS_SECONDS = 2.0
+# Less than the idle time-out of transactions in the simulated configuration (3 s).
+AT_REST_SECONDS = 2.0
 
 
 async def write(system, node, name, outcomes):
-    """One write by a session of its own; when it began and ended, and its error."""
+    """Run one write in its own session; append its start, its end and its error to `outcomes`."""
     loop = asyncio.get_running_loop()
     began = loop.time()
     system.world.history.expected[name] = ExpectedRequest(
@@ -38,19 +42,19 @@
 
 
 async def keep_writing(system, node, outcomes):
-    """A write each so often, whatever became of those before."""
+    """Start a write every WRITE_INTERVAL_SECONDS without waiting for the earlier ones."""
     tasks = []
-    for number in range(int(WRITING_SECONDS / EVERY_SECONDS)):
+    for number in range(int(WRITING_SECONDS / WRITE_INTERVAL_SECONDS)):
         work = write(system, node, f"{node.name}-{number}", outcomes)
         tasks.append(asyncio.create_task(work))
-        await asyncio.sleep(EVERY_SECONDS)
+        await asyncio.sleep(WRITE_INTERVAL_SECONDS)
     await asyncio.gather(*tasks)
 
 
 @pytest.mark.parametrize("deaf", [False, True])
 @pytest.mark.parametrize("which", ["all instances", "the primary"])
-def test_writes_go_on_soon_and_no_change_of_primary_is_begun(which, deaf, caplog):
-    """`deaf`: what is sent runs and is not answered."""
+def test_writes_continue_soon_without_a_change_of_primary(which, deaf, caplog):
+    """With `deaf`, messages that are sent are executed but not answered."""
     caplog.set_level("INFO", logger="orchidwind")
 
     async def work():
@@ -83,7 +87,7 @@
 @pytest.mark.parametrize("deaf", [False, True])
 @pytest.mark.parametrize("which", ["all instances", "the primary"])
 def test_silent_connections_to_instances_cause_no_change_of_primary(which, deaf):
-    """Callers that each wait for their answer; they are served again two seconds later."""
+    """Callers that wait for each answer are served again within two seconds."""
 
     async def work():
         system = PromotedSystem(1)
@@ -116,7 +120,7 @@
 
 
 async def open_connections(system, node):
-    """Open several connections to the primary, which rest afterwards; its name."""
+    """Open several connections to the primary and leave them idle; returns its name."""
     executors = [SessionExecutor(node, "latest") for _ in range(6)]
     for number, executor in enumerate(executors):
         await executor.execute(Command("-", CommandKind.BEGIN, "BEGIN"))
@@ -129,7 +133,7 @@
 
 
 def silence_half(system, node, instance):
-    """Of a proxy's connections to an instance, those that it uses next fall silent."""
+    """Silence half of a proxy's connections to an instance: those that it will use next."""
     connections = node.groups[GROUP].connections
     numbers = sorted(n for n, name in connections.records.instance_of.items() if name == instance)
     assert len(numbers) >= 6
@@ -138,12 +142,12 @@
 
 
 def silence_all(system, node, instance):
-    """All connections to an instance fall silent, those for status queries, too."""
+    """Silence all connections to an instance, including those for status queries."""
     system.group.silence([instance])
 
 
 async def read(node, number):
-    """One read of the latest state; whether it was served."""
+    """Read the latest state; returns whether the read was served."""
     try:
         command = Command(f"q{number}", CommandKind.READ, "READ x")
         await SessionExecutor(node, "latest").execute(command)
@@ -153,7 +157,7 @@
 
 
 @pytest.mark.parametrize("silence", [silence_half, silence_all])
-def test_one_request_at_most_pays_for_the_silent_connections_to_an_instance(silence):
+def test_at_most_one_request_fails_due_to_silent_connections_to_an_instance(silence):
     async def scenario(system, node):
         primary = await open_connections(system, node)
         silence(system, node, primary)
@@ -180,7 +184,7 @@
 
 
 async def rest(system, node, text="READ x"):
-    """A transaction that rests after its first statement; its executor and connection."""
+    """Open a transaction that stays at rest after its first statement; returns its executor."""
     executor = SessionExecutor(node, "latest")
     await executor.execute(Command("-", CommandKind.BEGIN, "BEGIN"))
     kind = CommandKind.WRITE if text.startswith("WRITE") else CommandKind.READ
@@ -189,12 +193,12 @@
 
 
 async def unanswered():
-    """A status query on a connection that carries nothing back."""
+    """A status query on a connection that delivers no answer."""
     await asyncio.get_running_loop().create_future()
 
 
 def silence_held(system, deaf):
-    """The connections that transactions hold fall silent, and no other."""
+    """Silence only the connections that transactions hold."""
     silenced = 0
     for node in system.nodes.values():
         connections = node.groups[GROUP].connections
@@ -209,16 +213,16 @@
 
 @pytest.mark.parametrize("deaf", [False, True])
 @pytest.mark.parametrize("ending", [CommandKind.READ, CommandKind.COMMIT])
-def test_a_transaction_that_fell_silent_at_rest_is_told_lost_when_its_caller_returns(deaf, ending):
+def test_a_transaction_silent_at_rest_is_reported_lost_when_its_caller_returns(deaf, ending):
     async def scenario(system, node):
         executor = await rest(system, node, "WRITE x y")
         silence_held(system, deaf)
-        await asyncio.sleep(RESTS_SECONDS)
+        await asyncio.sleep(AT_REST_SECONDS)
         assert node.groups[GROUP].connections.pools.busy == 0
         returned_at = system.world.now
-        with pytest.raises(RequestError) as told:
+        with pytest.raises(RequestError) as raised:
             await executor.execute(Command("t2", ending, ending.name))
-        assert told.value.kind is ErrorKind.TRANSACTION_LOST
+        assert raised.value.kind is ErrorKind.TRANSACTION_LOST
         assert system.world.now - returned_at < 0.05
         assert system.group.primary().log == []
 
@@ -232,7 +236,7 @@
         for number, link in node.groups[GROUP].connections.records.links.items():
             link.silent = number not in held
         await read(node, 7)
-        await asyncio.sleep(RESTS_SECONDS)
+        await asyncio.sleep(AT_REST_SECONDS)
         shipping = asyncio.create_task(system.group.keep_shipping())
         await executor.execute(Command("t2", CommandKind.COMMIT, "COMMIT"))
         shipping.cancel()
@@ -241,7 +245,7 @@
     with_home(scenario)
 
 
-def test_at_the_limit_of_connections_the_silent_ones_are_closed_all_the_same():
+def test_silent_connections_are_closed_even_at_the_connection_limit():
     async def scenario(system, node):
         primary = await open_connections(system, node)
         silence_all(system, node, primary)
@@ -252,7 +256,7 @@
     with_home(scenario)
 
 
-def test_a_transaction_at_its_home_that_fell_silent_is_told_lost_when_its_caller_returns():
+def test_a_transaction_silent_at_its_home_is_reported_lost_when_its_caller_returns():
     async def work():
         system = PromotedSystem(1, connection_limit=12, proxies=tuple("abcdef"))
         for node in system.nodes.values():
@@ -261,11 +265,11 @@
         front = next(node for node in system.nodes.values() if not node.homes.is_home(GROUP))
         executor = await rest(system, front, "WRITE x y")
         silence_held(system, deaf=False)
-        await asyncio.sleep(RESTS_SECONDS)
+        await asyncio.sleep(AT_REST_SECONDS)
         returned_at = system.world.now
-        with pytest.raises(RequestError) as told:
+        with pytest.raises(RequestError) as raised:
             await executor.execute(Command("t2", CommandKind.READ, "READ x"))
-        assert told.value.kind is ErrorKind.TRANSACTION_LOST
+        assert raised.value.kind is ErrorKind.TRANSACTION_LOST
         assert system.world.now - returned_at < 0.05
 
     run_virtual(work())
--- a/tests/promoted/test_lead_prover.py
+++ b/tests/promoted/test_lead_prover.py
@@ -1,4 +1,7 @@
-"""Waits for a proof of the lead end with the proxy, and tell nothing that was not shown."""
+"""Waits for a proof of leadership that are cut short: by a closing proxy or by cancellation.
+
+Such a wait must not report a proof, and must not cancel the query that other waits share.
+"""
 
 import asyncio
 
@@ -14,12 +17,12 @@
     prover = LeadProver(
         GroupTopology(PromotedGroupSettings("g", 100, 1), "zone"), leases=None, ask=None
     )
-    # The query is under way and nobody answers it.
+    # The query is sent and never answered.
     prover._query._send = asyncio.Event().wait
     return prover
 
 
-def test_a_command_that_waits_while_its_proxy_closes_goes_on_without_the_proof():
+def test_a_wait_ends_without_a_proof_when_the_proxy_closes():
     async def work():
         prover = prover_of_a_silent_replica()
         waiting = asyncio.create_task(prover.proves(prover.join(), 1))
@@ -30,7 +33,7 @@
     run_virtual(work())
 
 
-def test_a_wait_that_is_given_up_leaves_the_query_to_the_others():
+def test_cancelling_a_wait_does_not_cancel_the_shared_query():
     async def work():
         prover = prover_of_a_silent_replica()
         query = prover.join()
--- a/tests/promoted/test_resting_transactions.py
+++ b/tests/promoted/test_resting_transactions.py
@@ -1,4 +1,4 @@
-"""Transactions that rest hold a connection that others wait for: they are ended in time."""
+"""Idle transactions are ended after the configured time, as they hold scarce connections."""
 
 import asyncio
 
@@ -12,7 +12,7 @@
 from orchidwind_bench.promoted.simulation.virtual_time import run_virtual
 
 PROXIES = tuple(f"proxy-{letter}" for letter in "abcdef")
-IDLE_SECONDS = 3.0  # as the simulated configuration says
+IDLE_SECONDS = 3.0  # the value in the simulated configuration
 
 
 def command(kind, text, request_id="q1"):
@@ -44,7 +44,7 @@
 
 
 @pytest.mark.parametrize("limit", [32, 12])
-def test_a_resting_transaction_gives_its_connection_back(limit):
+def test_an_idle_transaction_releases_its_connection(limit):
     async def scenario(system):
         resting = [await rest(node) for node in system.nodes.values()]
         assert held(system) == len(PROXIES)
@@ -60,7 +60,7 @@
 
 
 @pytest.mark.parametrize("limit", [32, 12])
-def test_a_transaction_that_goes_on_in_time_is_kept(limit):
+def test_a_transaction_that_continues_in_time_is_kept(limit):
     async def scenario(system):
         executor = await rest(system.nodes["proxy-a"])
         for _ in range(4):
@@ -72,11 +72,11 @@
     with_system(scenario, limit)
 
 
-def test_a_home_ends_what_a_silent_front_left_open():
+def test_a_home_ends_the_transaction_of_an_unresponsive_front():
     async def scenario(system):
         front = next(n for n in system.nodes.values() if not n.homes.is_home(GROUP))
         executor = await rest(front)
-        executor._forwarder.give_up = lambda: None  # the front stands still
+        executor._forwarder.give_up = lambda: None  # the front is unresponsive
         executor._rest_timer.cancel()
         await asyncio.sleep(IDLE_SECONDS + 2.0)
         assert held(system) == 0
