--- a/src/orchidwind/promoted/peers/__init__.py
+++ b/src/orchidwind/promoted/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Drivers of promoted groups: links between proxies."""
+"""Drivers of promoted groups: the links between proxies."""
--- a/src/orchidwind/promoted/peers/forwarding.py
+++ b/src/orchidwind/promoted/peers/forwarding.py
@@ -1,8 +1,9 @@
-"""Sends the commands of one caller's session to the homes of its group.
+"""Forwards the commands of one caller's session to the homes of its group.
 
-For: `callers.session_executor`, where this proxy is no home of the group. Owns at which home the
-session's transaction is open. Relies on `peer_link` to send, on `core.forwarded_commands` for the
-messages and on `core.peer_loss` for what becomes of a command whose home was lost.
+For: `callers.session_executor`, where this proxy is not a home of the group. Owns the record of the
+home at which the session's transaction is open. Relies on `peer_link` to send, on
+`core.forwarded_commands` for the messages and on `core.peer_loss` for the outcome of a command
+whose home was lost.
 """
 
 from __future__ import annotations
@@ -28,69 +29,75 @@
 from orchidwind.promoted.peers.peer_link import PeerLink
 from orchidwind.shared.core.errors import ErrorKind, PeerUnavailable, RequestError
 
-# The home answers at the deadline by itself; this is for the way back, seconds. The way
-# between two zones takes some milliseconds, on a slow machine some dozens.
+# Time beyond the deadline to wait for the home's answer, seconds. The home itself answers by the
+# deadline; transit between two zones takes some milliseconds, and some dozens on a slow machine.
 _ANSWER_GRACE_SECONDS = 0.05
 
 
 class Homes(Protocol):
-    """Where the groups' connections are held."""
+    """Selects the home proxies that hold the groups' connections."""
 
     def home_link(self, group: str, tenant: str) -> PeerLink | None:
-        """The link to the home that this proxy sends a tenant's commands to; None: this proxy."""
+        """Return the link to the home that runs a tenant's commands; None: this proxy runs them."""
 
     def next_channel(self) -> int:
-        """A number for a session at a home, not used before."""
+        """Return a new number for a session at a home."""
 
 
 class _OpenChannel(Struct, frozen=True):
-    """Where the session's transaction is open."""
+    """A channel at a home: the link, and the number of the session on it."""
 
     link: PeerLink
     number: int
 
 
 class CommandForwarder:
-    """The commands of one session, one at a time."""
+    """Forwards the commands of one session, one at a time."""
 
     def __init__(self, session: Session, homes: Homes) -> None:
         self._session = session
         self._homes = homes
         self._loop = asyncio.get_running_loop()
-        self._open: _OpenChannel | None = None
-        self._running: _OpenChannel | None = None
+        self._transaction_channel: _OpenChannel | None = None
+        self._running_channel: _OpenChannel | None = None
 
     def serves(self, group: str, tenant: str) -> bool:
-        """Whether a tenant's commands for a group go to another proxy now."""
-        return self._open is not None or self._homes.home_link(group, tenant) is not None
+        """Whether a tenant's commands for a group are currently forwarded to another proxy."""
+        return (
+            self._transaction_channel is not None
+            or self._homes.home_link(group, tenant) is not None
+        )
 
     async def run(self, context: CommandContext, limits: TimeLimits) -> CommandResult | None:
-        """Carry a command out; None where no home is left. Raises RequestError."""
-        if context.command.kind is CommandKind.ROLLBACK and self._open is None:
-            return self._rolled_back()
+        """Run a command at a home; return its result, None if no home is left.
+
+        Raises RequestError.
+        """
+        if context.command.kind is CommandKind.ROLLBACK and self._transaction_channel is None:
+            return self._complete_rollback()
         while (channel := self._channel(context)) is not None:
             try:
                 answer = await self._ask(channel, context, limits)
             except PeerUnavailable as lost:
                 context.note(channel.link.member.name, f"home_lost:sent={lost.sent}")
-                error = self._lose_home(context.command, lost.sent)
+                error = self._handle_lost_home(context.command, lost.sent)
                 if context.command.kind is CommandKind.ROLLBACK:
-                    return self._rolled_back()
+                    return self._complete_rollback()
                 if error is not None:
                     raise error from lost
                 limits = limits.after_lost_home(self._loop.time())
                 continue
-            return self._take(channel, context, answer)
+            return self._handle_answer(channel, context, answer)
         return None
 
-    def _rolled_back(self) -> CommandResult:
-        """Nothing is open at any home, or it went away with its home."""
+    def _complete_rollback(self) -> CommandResult:
+        """Complete a ROLLBACK locally: no transaction is open at a home, or its home was lost."""
         self._session.end_transaction()
         return CommandResult()
 
     def _channel(self, context: CommandContext) -> _OpenChannel | None:
-        if self._open is not None:
-            return self._open
+        if self._transaction_channel is not None:
+            return self._transaction_channel
         link = self._homes.home_link(context.database.group, context.tenant)
         return None if link is None else _OpenChannel(link, self._homes.next_channel())
 
@@ -102,7 +109,7 @@
             transaction.wrote = True
         message = self._message(channel, context, limits)
         context.sent_to = channel.link.member.name
-        self._running = channel
+        self._running_channel = channel
         try:
             async with asyncio.timeout_at(limits.deadline + _ANSWER_GRACE_SECONDS):
                 return await channel.link.ask(message)
@@ -110,7 +117,7 @@
             channel.link.notify(CloseChannel(channel.number))
             raise self._timed_out(context.command) from error
         finally:
-            self._running = None
+            self._running_channel = None
 
     def _message(
         self, channel: _OpenChannel, context: CommandContext, limits: TimeLimits
@@ -118,8 +125,8 @@
         now = self._loop.time()
         progress = TransactionProgress.NONE
         if self._session.transaction is not None:
-            opened = self._open is not None
-            progress = TransactionProgress.CONTINUES if opened else TransactionProgress.BEGINS
+            was_open = self._transaction_channel is not None
+            progress = TransactionProgress.CONTINUES if was_open else TransactionProgress.BEGINS
         return run_command(
             context,
             CommandNumbers(channel.link.next_number(), channel.number),
@@ -127,49 +134,57 @@
             TimeLeft(limits.deadline - now, limits.hold_until - now),
         )
 
-    def _take(
+    def _handle_answer(
         self, channel: _OpenChannel, context: CommandContext, answer: CommandAnswer
     ) -> CommandResult:
-        """An answer came: what the caller gets; raises RequestError."""
+        """Apply an answer to the session; return the caller's result. Raises RequestError."""
         session, kind = self._session, context.command.kind
         session.raise_floor(answer.floor)
         context.note(channel.link.member.name, f"home:{answer.attempts}")
         if answer.sent_to:
             context.sent_to = f"{channel.link.member.name}/{answer.sent_to}"
-        self._open = None
+        self._transaction_channel = None
         if answer.error:
             self._end_if_commit(kind)
         elif kind in (CommandKind.COMMIT, CommandKind.ROLLBACK):
             session.end_transaction()
         elif session.transaction is not None:
-            self._open = channel
+            self._transaction_channel = channel
         return result_at_front(answer)
 
     def _timed_out(self, command: Command) -> RequestError:
-        """The home did not answer in time; it was asked to begin nothing more."""
-        lost = self._lose_home(command, sent=True)
-        return lost or RequestError(ErrorKind.STATEMENT_TIMEOUT, "the home did not answer in time")
-
-    def _lose_home(self, command: Command, sent: bool) -> RequestError | None:
-        """The home is gone for this command; what the caller is answered, None to try another."""
-        opened, self._open = self._open is not None, None
-        error = after_lost_home(self._session, command, opened, sent)
+        """Return the error for a command that the home did not answer in time."""
+        lost = self._handle_lost_home(command, sent=True)
+        return lost or RequestError(
+            ErrorKind.STATEMENT_TIMEOUT, "the home proxy did not answer in time"
+        )
+
+    def _handle_lost_home(self, command: Command, sent: bool) -> RequestError | None:
+        """Handle the loss of a command's home.
+
+        Returns the error for the caller, None if another home may be tried.
+        """
+        was_open, self._transaction_channel = self._transaction_channel is not None, None
+        error = after_lost_home(self._session, command, was_open, sent)
         if error is not None:
             self._end_if_commit(command.kind)
         return error
 
     def _end_if_commit(self, kind: CommandKind) -> None:
-        """However a COMMIT ends, the transaction is over."""
+        """End the transaction after a COMMIT, whatever its outcome."""
         if kind is CommandKind.COMMIT:
             self._session.end_transaction()
 
     def give_up(self) -> None:
-        """The transaction is given up: the home rolls it back."""
-        opened, self._open = self._open, None
-        if opened is not None:
-            opened.link.notify(CloseChannel(opened.number))
+        """Abandon the open transaction, if any: the home rolls it back."""
+        channel, self._transaction_channel = self._transaction_channel, None
+        if channel is not None:
+            channel.link.notify(CloseChannel(channel.number))
 
     def caller_left(self) -> None:
-        """The caller has gone: the home begins nothing more for it."""
-        if self._running is not None:
-            self._running.link.notify(CloseChannel(self._running.number))
+        """Close the channel of the running command, as the caller has disconnected.
+
+        The home starts no further work for it.
+        """
+        if self._running_channel is not None:
+            self._running_channel.link.notify(CloseChannel(self._running_channel.number))
--- a/src/orchidwind/promoted/peers/home_ports.py
+++ b/src/orchidwind/promoted/peers/home_ports.py
@@ -1,6 +1,6 @@
-"""What the home's side of a link needs of its proxy, and of the connection it sends on.
+"""The interfaces that the home's side of a link needs: its proxy and the connection to the front.
 
-For: `peer_service`, `served_link`, `remote_session`; whoever runs a proxy fills them in.
+For: `peer_service`, `served_link`, `remote_session`. The code that creates a proxy supplies them.
 """
 
 from __future__ import annotations
@@ -30,12 +30,16 @@
 
 
 class HomePorts(Struct, frozen=True):
-    """What the service needs of its proxy.
-
-    `read_lock` takes the number of a query and gives the promotion lock as the store has it.
-    `transaction_idle` gives for how many seconds a transaction may rest, `target_latency` after how
-    many seconds an answer of a database is late, None where it is not known. `quotas` lets the
-    operations of tenants pass, `lend_tokens` gives another proxy some of a tenant's quota.
+    """The functions of a proxy that its service for other proxies calls.
+
+    `groups` looks a group up by name; None if this proxy does not know it.
+    `read_lock` takes the number of a query and returns the promotion lock as read from the store.
+    `transaction_idle` returns for how many seconds a transaction may be idle.
+    `report_view` answers a query for a view.
+    `target_latency` returns the seconds after which an answer of a database counts as late, None
+    where that is unknown.
+    `quotas` admits the operations of tenants.
+    `lend_tokens` lends tokens of a tenant's quota to another proxy and returns how many.
     """
 
     groups: GroupLookup
@@ -49,9 +53,10 @@
 
 
 class LinkWriter(Struct, frozen=True):
-    """The way back on a link.
+    """The sending side of a link's connection.
 
-    `send` does not wait. `drained` waits until what was sent has left, `close` resets.
+    `send` queues a message without waiting. `drained` waits until the queued messages have been
+    sent. `close` resets the connection.
     """
 
     send: SendBack
--- a/src/orchidwind/promoted/peers/long_sends.py
+++ b/src/orchidwind/promoted/peers/long_sends.py
@@ -1,7 +1,7 @@
-"""Long contents of views leave a proxy one after the other.
+"""Sends the long contents of views one at a time.
 
-For: `served_link`. Owns the queue, one for all links of a proxy: sent together they would fill its
-network link, and none be whole while its asker still waits.
+For: `served_link`. Owns one queue for all links of a proxy. Sent concurrently, several long
+contents would share the bandwidth, and none would be complete before its asker's time limit.
 """
 
 from __future__ import annotations
@@ -9,14 +9,14 @@
 import asyncio
 from collections.abc import Awaitable, Callable
 
-# So many long contents wait to be sent. 13 askers of 2,855 databases take 1.5 s of
-# a link of 10 Mbit/s (docs/DECISIONS.md, "Long contents of a view come from the store"), 0.12 s
-# each; with more of them waiting, the last ones would come after their askers had given up.
-MOST_WAITING_LONG_SENDS = 4
+# How many long contents may be queued or being sent. A configuration of 2,855 databases takes 0.12
+# s of a link of 10 Mbit/s, 1.5 s for 13 askers (docs/DECISIONS.md, "Long contents of a view come
+# from the store"); in a longer queue the last ones would arrive after their askers' time limit.
+MAX_QUEUED_LONG_SENDS = 4
 
 
-class LongSends:
-    """The long contents that wait, or are being sent."""
+class LongSendQueue:
+    """The queue of the long contents that wait or are being sent."""
 
     def __init__(self) -> None:
         self._lock = asyncio.Lock()
@@ -24,11 +24,11 @@
 
     @property
     def full(self) -> bool:
-        """Whether one more would wait for longer than its asker."""
-        return self._waiting >= MOST_WAITING_LONG_SENDS
+        """Whether one more content would be sent after its asker's time limit."""
+        return self._waiting >= MAX_QUEUED_LONG_SENDS
 
     async def send(self, work: Callable[[], Awaitable[None]]) -> None:
-        """Send one, after those that came before."""
+        """Run `work`, which sends one content, after all earlier ones have been sent."""
         self._waiting += 1
         try:
             async with self._lock:
--- a/src/orchidwind/promoted/peers/own_entry.py
+++ b/src/orchidwind/promoted/peers/own_entry.py
@@ -1,7 +1,8 @@
-"""This proxy's own entry in the list of proxies, and the removal of entries of proxies that went.
+"""Keeps this proxy's entry in the stored list of proxies, and removes entries of lost proxies.
 
-For: `peer_network` and the start of a proxy. Owns what this proxy writes to that list. Relies on
-the member store; a call that fails is repeated after a pause, or left to the next find.
+For: `peer_network` and the start of a proxy. Owns all writes of this proxy to that list. Relies on
+the member store. A failed write of the own entry is retried after a pause; a failed removal is
+retried when the proxy is next found unreachable.
 """
 
 from __future__ import annotations
@@ -15,17 +16,17 @@
 from orchidwind.shared.logs import log_event
 from orchidwind.shared.task_set import TaskSet
 
-# Before the own entry is written again, seconds. The store refuses or is silent, and nobody
-# waits for it: others send work here a fraction of a second later.
+# Pause before the own entry is written again, seconds. No operation waits for the write: other
+# proxies send work here a fraction of a second later.
 _WRITE_AGAIN_SECONDS = 0.25
-# Seconds over which all proxies list themselves again after a return of the store. Each is
-# listed within a second of knowing it, and 200 proxies stay at the 400 writes a second that the
-# first users' store takes.
+# Period over which all proxies spread their registration after a restore of the store, seconds.
+# Each proxy is listed within a second of learning of the restore, and 200 proxies stay at the 400
+# writes a second that the first users' store accepts.
 _RELISTING_SPREAD_SECONDS = 0.5
 
 
 class OwnEntry:
-    """Keeps this proxy listed; removes others that it could not reach for long."""
+    """Keeps this proxy in the list; removes proxies that it could not reach for too long."""
 
     def __init__(self, own: ProxyMember, store: MemberStore) -> None:
         self._own = own
@@ -33,14 +34,15 @@
         self._write_due = asyncio.Event()
         self._written_at = float("-inf")
         self._removals = TaskSet()
-        # Seconds over which many proxies that write at the same time are spread.
+        # Upper bound of the next write's random delay, seconds, to spread many proxies' writes.
         self._spread = 0.0
         self._loop = asyncio.get_running_loop()
 
     async def write(self) -> bool:
-        """Try to have this proxy listed; whether it is and was not before.
+        """Try to write this proxy's entry; return whether the entry was created.
 
-        It is listed before it reads the members, as others may start now.
+        A failed write is logged and retried by `keep`. A starting proxy writes its entry before it
+        reads the list, as other proxies may be starting at the same time.
         """
         self._write_due.clear()
         try:
@@ -54,7 +56,7 @@
         return is_new
 
     async def keep(self) -> None:
-        """Have this proxy listed whenever it is not; runs until cancelled."""
+        """Write this proxy's entry whenever it is found missing; runs until cancelled."""
         while True:
             await self._write_due.wait()
             await asyncio.sleep(_WRITE_AGAIN_SECONDS + random.random() * self._spread)
@@ -62,21 +64,21 @@
             await self.write()
 
     def missing(self) -> None:
-        """A whole list does not name this proxy: it was taken off, or is too new."""
+        """Write the entry, as a full list lacks this proxy; ignored if it was written recently."""
         if self._loop.time() - self._written_at > OWN_ENTRY_LISTED_AFTER_SECONDS:
             self._write_due.set()
 
     def store_came_back(self) -> None:
-        """The store came back from a copy, in which this proxy may be missing."""
+        """Write the entry again: the store was restored from a copy that may lack it."""
         self._spread = _RELISTING_SPREAD_SECONDS
         self._write_due.set()
 
     def removed(self) -> None:
-        """Another proxy could not reach this one for long and took it off, but it is here."""
+        """Write the entry again: another proxy could not reach this one and removed the entry."""
         self._write_due.set()
 
     def remove_other(self, name: str) -> None:
-        """Take a proxy off the list; one that is there after all lists itself again."""
+        """Remove a proxy from the list; if it is running after all, it registers again."""
         self._removals.start(self._remove(name))
 
     async def _remove(self, name: str) -> None:
@@ -88,5 +90,5 @@
         log_event("member_removed", member=name)
 
     def close(self) -> None:
-        """Write nothing more."""
+        """Cancel the removals in progress."""
         self._removals.cancel()
--- a/src/orchidwind/promoted/peers/peer_codec.py
+++ b/src/orchidwind/promoted/peers/peer_codec.py
@@ -1,7 +1,8 @@
 """Avro encoding of the messages between proxies for promoted groups (union `peer`).
 
-For: `peer_streams`. Owns which message is which record of `messages.avsc`; the messages are those
-of `core.peer_messages`. No I/O but the schema's file. Processes of two versions read one another.
+For: `peer_streams`. Owns the mapping between the messages of `core.peer_messages` and the records
+of `messages.avsc`. No I/O except reading the schema file. Processes of two versions can read each
+other's messages.
 """
 
 from __future__ import annotations
@@ -23,9 +24,9 @@
 
 __all__ = ["MAXIMUM_PEER_FRAME_BYTES", "DecodeError", "FrameCutter", "decode_peer", "encode_peer"]
 
-# The longest message of another proxy, bytes. Four times the longest message of a caller,
-# and of the longest configuration between proxies (217 KB for 4,254 databases, docs/SILENCE.md)
-# many times its size.
+# The maximum length of a message from another proxy, bytes: four times the longest message of a
+# caller, and many times the longest configuration sent between proxies (217 KB for 4,254 databases,
+# docs/SILENCE.md).
 MAXIMUM_PEER_FRAME_BYTES = 4 * 1024 * 1024
 _TYPES: dict[str, type[PeerMessage]] = {
     kind.__name__: kind
@@ -44,8 +45,8 @@
         peer_messages.TokenGrant,
     )
 }
-# The records of messages that concern a tenant. The others keep the bytes that proxies of a build
-# before tenants read.
+# The records of messages that concern a tenant. All other records keep the encoding that proxies of
+# a version without tenants can read.
 _RUN_TENANT_COMMAND = "RunTenantCommand"
 _TENANT_VIEW_REPORT = "TenantViewReport"
 _QUOTA_SHARES_REPORT = "QuotaSharesReport"
@@ -56,7 +57,7 @@
 
 
 def encode_peer(message: PeerMessage) -> bytes:
-    """A frame."""
+    """Return the frame that holds a message."""
     fields: Any = msgspec.to_builtins(message, builtin_types=(bytes,))
     return encode_frame_record(_SCHEMA, _record_of(message), fields)
 
@@ -73,7 +74,7 @@
 
 
 def decode_peer(body: bytes) -> PeerMessage:
-    """The message of a frame's body; raises DecodeError."""
+    """Return the message in a frame's body; raises DecodeError."""
     try:
         name, fields = read_record(body, _SCHEMA)
         return msgspec.convert(fields, _TYPES[name], builtin_types=(bytes,))
--- a/src/orchidwind/promoted/peers/peer_link.py
+++ b/src/orchidwind/promoted/peers/peer_link.py
@@ -1,9 +1,10 @@
-"""A link to another proxy: carries the commands of many sessions, and finds out when it is gone.
+"""A link to another proxy: multiplexes the commands of many sessions and detects a lost connection.
 
 For: `forwarding` (commands), `views.peer_views` (queries of views), `group.lease_keeper` (queries
-of the promotion lock). Owns one connection, opens it anew when it is lost, and matches answers to
-what was asked. Relies on `promoted.core.link_silence` for when a link is silent and when it is
-tried again. What becomes of a command whose link was lost, `promoted.core.peer_loss` decides.
+of the promotion lock). Owns one connection, reopens it when it is lost, and matches answers to
+requests. Relies on `promoted.core.link_silence` for when a link counts as silent and when a lost
+link is opened again. `promoted.core.peer_loss` decides the outcome of a command whose link was
+lost.
 """
 
 from __future__ import annotations
@@ -39,10 +40,11 @@
 
 
 class PeerLink:
-    """One link, opened when it is first needed, and anew in the background once it was lost.
+    """One link, opened on first use and reopened in the background after it was lost.
 
-    A lost link takes nothing until the other side has answered on a new one: else, during a cut,
-    each pause would end with requests that wait for an attempt to connect.
+    A lost link accepts no requests until the other side has answered on a new connection.
+    Otherwise, during a network partition, each pause between attempts would end with requests that
+    wait for an attempt to connect.
     """
 
     def __init__(
@@ -67,89 +69,90 @@
         self._silence_watch = SilenceWatch(
             self._silence, WatchedLink(self._last_byte_at, self._probe, self._give_up)
         )
-        # Lost, and not answered on a new connection yet.
+        # Whether the link was lost and the other side has not answered on a new connection yet.
         self._down = False
         self._closed = False
         self._reopening: asyncio.TimerHandle | None = None
         self._pause = ReopenPause()
 
     def usable(self) -> bool:
-        """Whether new work may go there."""
+        """Whether new work may be sent: the link is not lost, the other proxy is not stopping."""
         return not self.leaving and not self._down
 
     def next_number(self) -> int:
-        """A number for a command on this link."""
+        """Return a new number for a message on this link."""
         return next(self._numbers)
 
     async def ask(self, message: RunCommand) -> CommandAnswer:
         """Send a command and wait for its answer; raises PeerUnavailable."""
-        answer = await self._ask(message)
+        answer = await self._request(message)
         assert isinstance(answer, CommandAnswer)
         return answer
 
     async def ask_lock(self) -> LockReport:
-        """Ask what the promotion lock is; raises PeerUnavailable."""
-        answer = await self._ask(LockQuery(self.next_number()))
+        """Ask the other proxy to read the promotion lock; raises PeerUnavailable."""
+        answer = await self._request(LockQuery(self.next_number()))
         assert isinstance(answer, LockReport)
         return answer
 
     async def ask_tokens(self, tenant: str, wanted: float) -> float:
-        """Ask for tokens of a tenant's quota; how many were lent. Raises PeerUnavailable."""
-        answer = await self._ask(TokenQuery(self.next_number(), tenant, wanted))
+        """Ask for tokens of a tenant's quota; return how many were lent. Raises PeerUnavailable."""
+        answer = await self._request(TokenQuery(self.next_number(), tenant, wanted))
         assert isinstance(answer, TokenGrant)
         return answer.granted
 
     async def ask_view(
-        self, view: str, revision: StoreRevision, whole: bool, seldom: bool = False
+        self, view: str, revision: StoreRevision, whole: bool, infrequent: bool = False
     ) -> ViewReport:
-        """Ask what is later than a revision in a view; raises PeerUnavailable.
+        """Ask for a view's content later than a revision; raises PeerUnavailable.
 
-        `seldom`: another reader is asked as well in time, so for this query the link is not probed
-        at rest.
+        `whole`: the content is sent however long it is. `infrequent`: such queries are rare, and
+        there is time to ask another reader, so this query does not cause probes of the idle link.
         """
         query = ViewQuery(self.next_number(), view, int(revision), whole)
-        answer = await self._ask(query, in_use=not seldom)
+        answer = await self._request(query, in_use=not infrequent)
         assert isinstance(answer, ViewReport)
         return answer
 
-    async def _ask(
+    async def _request(
         self, message: RunCommand | LockQuery | ViewQuery | TokenQuery, in_use: bool = True
     ) -> Answer:
         connection = await self._open()
-        answered: asyncio.Future[Answer] = self._loop.create_future()
-        self._pending[message.number] = answered
+        answer_future: asyncio.Future[Answer] = self._loop.create_future()
+        self._pending[message.number] = answer_future
         connection.send(message)
-        self._silence_watch.asked()
+        self._silence_watch.record_request()
         if in_use:
-            self._silence_watch.used()
+            self._silence_watch.record_use()
         try:
-            return await answered
+            return await answer_future
         finally:
             self._pending.pop(message.number, None)
 
     def notify(self, message: PeerMessage) -> None:
-        """Send what wants no answer, if the link is up."""
+        """Send a message that has no answer; does nothing if the link is not connected."""
         if self._connection is not None:
             self._connection.send(message)
 
     def close(self) -> None:
-        """Cut the link; waiting commands fail."""
+        """Close the link; pending requests fail with PeerUnavailable."""
         self._closed = True
         if self._reopening is not None:
             self._reopening.cancel()
         if self._opening is not None:
             self._opening.cancel()
         if self._connection is not None:
-            self._lost("closed by this proxy")
+            self._drop_connection("closed by this proxy")
 
     async def _open(self) -> PeerConnection:
-        """The connection; raises PeerUnavailable.
+        """Return the connection, opening it if needed; raises PeerUnavailable.
 
-        All that ask wait for one attempt, which goes on to its end when one of them gives up: else
-        one with little patience would try again and again, and nobody learn that the way is cut.
+        All requests wait for one shared attempt, which continues when a request is cancelled.
+        Otherwise a request with a short time limit would start attempt after attempt, and none
+        would last long enough to show that the other proxy is unreachable.
         """
         if self._down:
-            raise PeerUnavailable("the home does not answer", sent=False)
+            raise PeerUnavailable("the home proxy does not answer", sent=False)
         if self._connection is not None:
             return self._connection
         attempt = self._opening or self._begin_opening()
@@ -163,30 +166,32 @@
 
     def _begin_opening(self) -> asyncio.Task[PeerConnection]:
         attempt = self._loop.create_task(self._connect())
-        attempt.add_done_callback(self._opening_ended)
+        attempt.add_done_callback(self._attempt_ended)
         self._opening = attempt
         return attempt
 
     async def _connect(self) -> PeerConnection:
         try:
             async with asyncio.timeout(link_silence.LINK_CONNECT_SECONDS):
-                opened = await self._connector.connect(self.member, self._take, self._broken)
+                opened = await self._connector.connect(
+                    self.member, self._receive, self._connection_ended
+                )
         except (PeerUnavailable, TimeoutError) as error:
-            self._note_lost(str(error) or "no answer to a new link")
-            raise PeerUnavailable("the home cannot be reached", sent=False) from error
+            self._mark_lost(str(error) or "the connection attempt timed out")
+            raise PeerUnavailable("cannot connect to the home proxy", sent=False) from error
         opened.send(Greeting(self._own))
         self._connection = opened
         self._silence.opened(self._loop.time())
         log_event("home_connected", home=self.member.name)
         return opened
 
-    def _opening_ended(self, attempt: asyncio.Task[PeerConnection]) -> None:
+    def _attempt_ended(self, attempt: asyncio.Task[PeerConnection]) -> None:
         self._opening = None
         if not attempt.cancelled():
-            # Those that wait raise it; where nobody waits any more it has been logged.
+            # Marks the exception as retrieved: waiting requests raise it, and it was logged.
             attempt.exception()
 
-    def _take(self, message: PeerMessage) -> None:
+    def _receive(self, message: PeerMessage) -> None:
         self._pause.reset()
         self.lost_since = None
         self._down = False
@@ -200,24 +205,24 @@
             self.leaving = message.leaving
         self._silence.received(self._loop.time(), more_owed=bool(self._pending))
 
-    def _broken(self, reason: str) -> None:
+    def _connection_ended(self, reason: str) -> None:
         if self._connection is not None:
-            self._lost(reason)
+            self._drop_connection(reason)
 
-    def _lost(self, reason: str) -> None:
+    def _drop_connection(self, reason: str) -> None:
         connection, self._connection = self._connection, None
         self._silence.ended()
         if connection is not None:
             connection.close()
-        # A proxy that stopped may be back at once: it is not leaving any more.
+        # A proxy that stopped may be running again at once, so its announcement is void.
         self.leaving = False
-        self._note_lost(reason)
+        self._mark_lost(reason)
         pending, self._pending = self._pending, {}
         for waiting in pending.values():
             if not waiting.done():
                 waiting.set_exception(PeerUnavailable(reason, sent=True))
 
-    def _note_lost(self, reason: str) -> None:
+    def _mark_lost(self, reason: str) -> None:
         if not self._down:
             log_event("home_lost", home=self.member.name, reason=reason)
         self._down = True
@@ -229,7 +234,7 @@
             self._reopening = self._loop.call_later(self._pause.take(), self._reopen)
 
     def _reopen(self) -> None:
-        """Open the link anew; it counts once the other side has answered."""
+        """Reopen the connection; the link is usable again once the other side has answered."""
         self._reopening = None
         if self._opening is None and self._connection is None:
             self._begin_opening().add_done_callback(self._probe_again)
@@ -239,9 +244,9 @@
             return
         attempt.result().send(Probe())
         wait = link_silence.LINK_SILENT_SECONDS
-        self._reopening = self._loop.call_later(wait, self._expect_first_answer)
+        self._reopening = self._loop.call_later(wait, self._check_first_answer)
 
-    def _expect_first_answer(self) -> None:
+    def _check_first_answer(self) -> None:
         self._reopening = None
         if self._down and self._connection is not None:
             self._give_up(self._silence.open_for(self._loop.time()))
@@ -255,7 +260,7 @@
         self.notify(Probe())
 
     def _give_up(self, silent_for: float) -> None:
-        """The link is silent: waiting commands fail, and it is opened anew."""
+        """Drop the silent connection: pending requests fail, and the link is reopened."""
         pending = len(self._pending)
         self._on_silent(
             SilentConnection(
@@ -264,7 +269,7 @@
                 self._silence.open_for(self._loop.time()),
                 silent_for,
                 pending,
-                "its commands fail here, it is opened anew" if pending else "it is opened anew",
+                "its pending requests fail, it is reopened" if pending else "it is reopened",
             )
         )
-        self._lost("silent")
+        self._drop_connection("silent")
--- a/src/orchidwind/promoted/peers/peer_network.py
+++ b/src/orchidwind/promoted/peers/peer_network.py
@@ -1,8 +1,9 @@
-"""The other proxies as this one knows them: members, homes of the groups, links.
+"""This proxy's knowledge of the other proxies: the members, the homes of the groups, the links.
 
-For: callers' sessions (where does a command go), views (whom to ask), the lead lease (who reads the
-lock). Owns the list of proxies as this one holds it, and one link to each. Relies on `core.homes`
-for every choice among proxies and on `peer_link` for who can be reached.
+For: callers' sessions (which proxy runs a command), views (which proxies to ask), the leadership
+lease (which proxies read the promotion lock). Owns this proxy's copy of the list of proxies, and
+one link to each of them. Relies on `core.homes` for every choice among proxies and on `peer_link`
+for which proxies are reachable.
 """
 
 from __future__ import annotations
@@ -30,18 +31,21 @@
 
 
 class LockReaders(Struct, frozen=True):
-    """Whom to ask for the promotion lock: `before` the store is read, and `after` that failed."""
+    """Links to the proxies to ask for the promotion lock.
+
+    `before`: asked before this proxy reads the store. `after`: asked if that read failed.
+    """
 
     before: Sequence[PeerLink] = ()
     after: Sequence[PeerLink] = ()
 
 
 class GroupFacts(Struct, frozen=True):
-    """What the placement of groups needs to know of them.
+    """The facts about groups and tenants on which the placement of groups depends.
 
-    `connection_limit`: how many connections an instance of a group takes, over all proxies.
-    `count`: how many groups there are. `starved`: whether this proxy gets no connection to a
-    group's instances. `large_tenant`: whether a tenant is a large one.
+    `connection_limit`: how many connections from all proxies an instance of a group accepts.
+    `count`: the number of groups. `starved`: whether this proxy gets no connection to a group's
+    instances. `large_tenant`: whether a tenant counts as large.
     `has_tenants`: whether callers have tenants at all.
     """
 
@@ -53,7 +57,10 @@
 
 
 class PeerNetwork:
-    """Follows the members; tells where each group's commands go. `on_change` is called after."""
+    """Follows the list of proxies and selects the home for each group's commands.
+
+    `on_change` is called after members or placements may have changed.
+    """
 
     def __init__(
         self,
@@ -68,15 +75,16 @@
         self.own_entry = OwnEntry(own, store)
         # Whether the members were read since the start.
         self.known = False
-        # Rises whenever members or placements may have changed.
+        # Increases whenever members or placements may have changed.
         self.generation = 0
         self._connector = connector
         self._groups = groups
         self._on_change = on_change
         self._on_silent = on_silent
         self._listed: dict[str, ProxyMember] = {}
-        # Missing in the copy that the store came back from, and kept until they list themselves.
-        self._kept: dict[str, ProxyMember] = {}
+        # Members missing in the copy from which the store was restored; they count as members until
+        # they register again or `RELISTING_SECONDS` have passed.
+        self._retained: dict[str, ProxyMember] = {}
         self._members: dict[str, ProxyMember] = {own.name: own}
         self._era = 0
         self._links: dict[str, PeerLink] = {}
@@ -90,13 +98,13 @@
     # --- members ------------------------------------------------------------------------------
 
     def listed(self, listing: Listing[ProxyMember]) -> bool:
-        """All members, read freshly; whether they differ from those that were held."""
+        """Replace the members by a full list; return whether they differ from those held before."""
         before, first = self._members, not self.known
         self._listed = {member.name: member for member in listing.items}
         if self.own.name not in self._listed:
             self.own_entry.missing()
         if not first and listing.revision.era > self._era:
-            self._keep(before)
+            self._retain(before)
         self._era = listing.revision.era
         self._merge()
         self.known = True
@@ -106,13 +114,13 @@
         return True
 
     def changed(self, changes: Changes[ProxyMember]) -> None:
-        """Members that came, changed or went."""
+        """Apply members that were added, changed or removed."""
         before = self._members
         for member in changes.changed:
             self._listed[member.name] = member
         for name in changes.gone:
             self._listed.pop(name, None)
-            self._kept.pop(name, None)
+            self._retained.pop(name, None)
         if self.own.name in changes.gone:
             self.own_entry.removed()
         self._merge()
@@ -120,23 +128,26 @@
             self._changed()
 
     def _merge(self) -> None:
-        self._kept = {name: item for name, item in self._kept.items() if name not in self._listed}
-        self._members = {**self._listed, **self._kept, self.own.name: self.own}
+        self._retained = {
+            name: item for name, item in self._retained.items() if name not in self._listed
+        }
+        self._members = {**self._listed, **self._retained, self.own.name: self.own}
 
-    def _keep(self, before: Mapping[str, ProxyMember]) -> None:
-        """The store came back from a copy, in which proxies may be missing that run.
+    def _retain(self, before: Mapping[str, ProxyMember]) -> None:
+        """Retain the members from before a restore of the store.
 
-        They list themselves again. Gains that groups do not change their homes twice meanwhile.
+        The older copy may lack proxies that are running, which register again. Retaining them
+        keeps groups from changing their homes twice in the meantime.
         """
-        self._kept = dict(before)
-        self._loop.call_later(RELISTING_SECONDS, self._drop_kept)
+        self._retained = dict(before)
+        self._loop.call_later(RELISTING_SECONDS, self._drop_retained)
 
-    def _drop_kept(self) -> None:
-        """Who was missing in the copy and has not listed itself again is gone."""
-        if not self._kept:
+    def _drop_retained(self) -> None:
+        """Drop the retained members that have not registered again: they are gone."""
+        if not self._retained:
             return
-        log_event("members_not_listed_again", members=",".join(sorted(self._kept)))
-        self._kept.clear()
+        log_event("members_not_listed_again", members=",".join(sorted(self._retained)))
+        self._retained.clear()
         self._merge()
         self._changed()
 
@@ -148,11 +159,11 @@
         self.limits_changed()
 
     def tenants_changed(self) -> None:
-        """Other tenants may be large ones."""
+        """Discard the chosen homes, as the set of large tenants may have changed."""
         self._preferred.clear()
 
     def limits_changed(self) -> None:
-        """The configuration may give other connection limits: place the groups anew."""
+        """Discard the placement of all groups: members or connection limits may have changed."""
         self.generation += 1
         self._lock_readers = None
         self._placed.clear()
@@ -162,7 +173,7 @@
     # --- homes --------------------------------------------------------------------------------
 
     def placement(self, group: str) -> GroupHomes:
-        """The homes of a group."""
+        """Return the homes of a group and their numbers of connections."""
         placed = self._placed.get(group)
         if placed is None:
             limit, groups = self._groups.connection_limit(group), self._groups.count()
@@ -181,7 +192,7 @@
         return placed
 
     def is_home(self, group: str) -> bool:
-        """Whether this proxy holds connections of a group."""
+        """Whether this proxy is a home of a group."""
         return self.placement(group).includes(self.own.name)
 
     def _preferred_homes(self, group: str, tenant: str) -> list[ProxyMember]:
@@ -197,9 +208,9 @@
         return preferred
 
     def home_link(self, group: str, tenant: str) -> PeerLink | None:
-        """The link to the home that this proxy sends a tenant's commands to; None: this proxy.
+        """Return the link to the home that runs a tenant's commands; None: this proxy runs them.
 
-        A home that gets no connections lets another home serve.
+        If this proxy is the preferred home but gets no connections, another home is used.
         """
         for member in self._preferred_homes(group, tenant):
             if member.name == self.own.name:
@@ -212,7 +223,7 @@
         return None
 
     def lock_readers(self) -> LockReaders:
-        """The proxies that read the promotion lock for others."""
+        """Return links to the usable proxies that read the promotion lock for others."""
         if self._lock_readers is None:
             self._lock_readers = lock_readers(self._members.values())
         names = [member.name for member in self._lock_readers]
@@ -227,24 +238,24 @@
 
     @property
     def listed_members(self) -> Iterable[ProxyMember]:
-        """The proxies that the list names, and this one."""
+        """The proxies in the stored list, and this one."""
         return {**self._listed, self.own.name: self.own}.values()
 
     @property
     def members(self) -> Iterable[ProxyMember]:
-        """All proxies that are known, this one among them."""
+        """All known proxies, including this one."""
         return self._members.values()
 
     def usable_link(self, member: ProxyMember) -> PeerLink | None:
-        """The link to a proxy, None while that does not answer or stops."""
+        """Return the link to a proxy, None while the proxy does not answer or is stopping."""
         link = self._link(member)
         if link.usable():
             return link
-        self._forget_if_gone(link)
+        self._remove_if_unreachable(link)
         return None
 
     def next_channel(self) -> int:
-        """A number for a session at a home, not used before."""
+        """Return a new number for a session at a home."""
         return next(self._channels)
 
     def _link(self, member: ProxyMember) -> PeerLink:
@@ -254,17 +265,20 @@
             self._links[member.name] = link
         return link
 
-    def _forget_if_gone(self, link: PeerLink) -> None:
-        """Take a member off the list that has not been reached for long; it may list itself."""
+    def _remove_if_unreachable(self, link: PeerLink) -> None:
+        """Remove from the stored list a member that has been unreachable for too long.
+
+        A member that is running after all registers again.
+        """
         since = link.lost_since
         if since is None or self._loop.time() - since < FORGET_PROXY_SECONDS:
             return
-        # Counted anew, so that a removal that failed is tried again.
+        # Restart the wait, so that a removal that failed is tried again.
         link.lost_since = self._loop.time()
         self.own_entry.remove_other(link.member.name)
 
     def close(self) -> None:
-        """Cut all links."""
+        """Close all links."""
         self.own_entry.close()
         for link in self._links.values():
             link.close()
--- a/src/orchidwind/promoted/peers/peer_service.py
+++ b/src/orchidwind/promoted/peers/peer_service.py
@@ -1,29 +1,30 @@
-"""All links that other proxies opened to this one as the home of their groups.
+"""The links that other proxies opened to this one as a home of groups.
 
-For: the listeners (`peer_streams`), which bring links and their messages. Owns which link is the
-current one of each proxy, and that this proxy announces its stop on all. Relies on `served_link`.
+For: the listeners (`peer_streams`), which accept links and receive their messages. Owns the current
+link of each proxy, and the announcement on all links that this proxy is stopping. Relies on
+`served_link`.
 """
 
 from __future__ import annotations
 
 from orchidwind.promoted.peers.home_ports import HomePorts, LinkWriter
-from orchidwind.promoted.peers.long_sends import LongSends
+from orchidwind.promoted.peers.long_sends import LongSendQueue
 from orchidwind.promoted.peers.served_link import ServedLink
 from orchidwind.shared.logs import log_event
 
 
 class PeerService:
-    """All links that other proxies opened to this one."""
+    """The links that other proxies opened to this one."""
 
     def __init__(self, home: HomePorts) -> None:
         self.leaving = False
         self._home = home
         self._links: set[ServedLink] = set()
         self._by_proxy: dict[str, ServedLink] = {}
-        self._long_sends = LongSends()
+        self._long_sends = LongSendQueue()
 
     def link(self, writer: LinkWriter) -> ServedLink:
-        """A link was opened."""
+        """Add a link that was opened; return its state."""
         served = ServedLink(
             self._home, writer, self._long_sends, lambda: self.leaving, self._greeted
         )
@@ -31,16 +32,17 @@
         return served
 
     def ended(self, served: ServedLink) -> None:
-        """A link has gone: what was open on it is rolled back."""
+        """Remove a link that has ended: transactions that were open on it are rolled back."""
         self._links.discard(served)
         if self._by_proxy.get(served.proxy) is served:
             del self._by_proxy[served.proxy]
         served.end()
 
     def _greeted(self, served: ServedLink) -> None:
-        """A proxy opens a link anew once it has given the last one up.
+        """Replace the earlier link of a proxy that has opened a new one.
 
-        That one may be silent for good, without an end: what is open on it is rolled back now.
+        A proxy opens a new link after it dropped the earlier one, whose connection may stay open
+        and silent: transactions on it are rolled back now.
         """
         older = self._by_proxy.get(served.proxy)
         self._by_proxy[served.proxy] = served
@@ -49,7 +51,10 @@
             older.close()
 
     def leave(self) -> None:
-        """This proxy stops: others send their next transactions and statements elsewhere."""
+        """Announce that this proxy is stopping.
+
+        Other proxies then send their next transactions and statements elsewhere.
+        """
         self.leaving = True
         for served in self._links:
             served.announce_leaving()
--- a/src/orchidwind/promoted/peers/peer_streams.py
+++ b/src/orchidwind/promoted/peers/peer_streams.py
@@ -1,10 +1,10 @@
-"""Links between proxies for promoted groups on TCP: the port `PeerConnector`, and the listener.
+"""Links between proxies for promoted groups over TCP: the `PeerConnector` port and the listener.
 
-For: `peer_link` on the asking side, `peer_service` on the answering side. Owns the sockets. Relies
-on `peer_codec` for the messages.
+For: `peer_link` on the requesting side, `peer_service` on the answering side. Owns the sockets.
+Relies on `peer_codec` for the messages.
 
-A side that gives a link up resets it: what the network still holds must not arrive later, as its
-sender has answered its caller by then.
+A side that drops a link resets the connection: data still in transit must not be delivered later,
+as the sender has answered its caller by then.
 """
 
 from __future__ import annotations
@@ -26,14 +26,14 @@
 from orchidwind.shared.core.errors import PeerUnavailable
 from orchidwind.shared.sockets import client_socket, watchful
 
-# One read of a socket, bytes. A window of TCP; longer messages take several reads.
+# The maximum size of one read of a socket, bytes: a TCP window. Longer messages take several reads.
 _READ_BYTES = 65536
-# Linger for zero seconds: closing resets the connection and drops what was not sent.
+# Linger for zero seconds: closing resets the connection and discards unsent data.
 _RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 
 def _codec() -> ModuleType:
-    """The codec; imported with the first link, as a small system needs none."""
+    """Return the codec module, imported on first use: a system without links does not need it."""
     from orchidwind.promoted.peers import peer_codec
 
     return peer_codec
@@ -50,19 +50,19 @@
         self.last_byte_at = self._loop.time()
 
     def send(self, message: PeerMessage) -> None:
-        """Send a message; nothing happens where the connection is gone."""
+        """Send a message; does nothing if the connection is closed."""
         if not self._stream.closed():
             self._written = self._stream.write(_codec().encode_peer(message))
 
     async def drained(self) -> None:
-        """Wait until the network has taken what was sent, or the connection is gone."""
+        """Wait until all sent messages are written to the socket, or the connection is closed."""
         if self._written is not None:
-            # A connection that is gone is found by its reader.
+            # The reader of a closed connection reports the end.
             with contextlib.suppress(StreamClosedError):
                 await self._written
 
     async def receive(self, on_message: Callable[[PeerMessage], None]) -> str:
-        """Take messages until the connection ends; returns the reason."""
+        """Pass messages to `on_message` until the connection ends; return the reason."""
         codec = _codec()
         frames = codec.FrameCutter(codec.MAXIMUM_PEER_FRAME_BYTES)
         try:
@@ -71,30 +71,30 @@
                 self.last_byte_at = self._loop.time()
                 if self._given_up():
                     self.close()
-                    return "given up by the other side"
+                    return "dropped by the other side"
                 while (body := frames.next_body()) is not None:
                     on_message(codec.decode_peer(body))
         except StreamClosedError:
-            # The usual end of a link; whoever waits for it logs the reason.
+            # The usual end of a link; the caller logs the reason.
             return "closed"
         except codec.DecodeError as error:
             self.close()
             return str(error)
 
     def _given_up(self) -> bool:
-        """Whether the other side has ended the link after what was just read.
+        """Whether the other side has closed the connection after the data that was just read.
 
-        After a freeze of this process, what it reads may be long out of date.
+        After a freeze of this process, the data that it reads may be long out of date.
         """
         if self._stream.socket is None:
             return True
         try:
             return self._stream.socket.recv(1, socket.MSG_PEEK) == b""
         except BlockingIOError:
-            # Open, and nothing more to read.
+            # The connection is open and has no more data.
             return False
         except OSError:
-            # Reset: the other side has given it up, which is what is asked here.
+            # The other side has reset the connection.
             return True
 
     def close(self) -> None:
@@ -108,7 +108,7 @@
     def start(
         self, on_message: Callable[[PeerMessage], None], on_lost: Callable[[str], None]
     ) -> None:
-        """Take messages in the background; `on_lost` is called with the reason of the end."""
+        """Receive messages in the background; `on_lost` gets the reason when the link ends."""
 
         async def run() -> None:
             on_lost(await self.receive(on_message))
@@ -117,7 +117,7 @@
 
 
 class PeerStreamConnector:
-    """Opens links."""
+    """Opens links to other proxies over TCP."""
 
     async def connect(
         self,
@@ -125,7 +125,7 @@
         on_message: Callable[[PeerMessage], None],
         on_lost: Callable[[str], None],
     ) -> PeerStream:
-        """Open a connection; raises PeerUnavailable."""
+        """Open a connection and start receiving; raises PeerUnavailable."""
         stream = IOStream(client_socket())
         try:
             await stream.connect((member.host, member.port))
@@ -141,7 +141,7 @@
 
 
 class PeerListener(TCPServer):
-    """Accepts links."""
+    """Accepts links from other proxies over TCP."""
 
     def __init__(self, service: PeerService) -> None:
         super().__init__()
@@ -149,7 +149,7 @@
         self._streams: set[PeerStream] = set()
 
     async def handle_stream(self, stream: IOStream, address: tuple[str, int]) -> None:
-        """Serve one link to its end."""
+        """Serve one link until its connection ends."""
         watchful(stream.socket)
         opened = PeerStream(stream)
         self._streams.add(opened)
@@ -161,6 +161,6 @@
             self._service.ended(served)
 
     def close_links(self) -> None:
-        """Cut all links."""
+        """Reset the connections of all links."""
         for opened in list(self._streams):
             opened.close()
--- a/src/orchidwind/promoted/peers/remote_session.py
+++ b/src/orchidwind/promoted/peers/remote_session.py
@@ -1,8 +1,8 @@
-"""One session of another proxy's caller, while it has work at this home.
+"""A session of another proxy's caller, while it has work at this home.
 
 For: `served_link`, which has one for each session that runs a command or has a transaction open.
 Owns the session's state at this home and the connection of its transaction. Relies on
-`CommandRunner` to carry commands out and on `core.forwarded_commands` for the messages.
+`CommandRunner` to run commands and on `core.forwarded_commands` for the messages.
 """
 
 from __future__ import annotations
@@ -27,8 +27,8 @@
 from orchidwind.shared.core.errors import ErrorKind, RequestError
 from orchidwind.shared.logs import log_event
 
-# The front ends a transaction that rests for too long; the home does after so many seconds more.
-# The front's message is there by then, also over a link that was just opened anew.
+# The front ends a transaction that is idle for too long; the home ends it this many seconds later.
+# The front's message has arrived by then, even over a link that was just reopened.
 _FRONT_MARGIN_SECONDS = 1.0
 
 
@@ -38,7 +38,7 @@
     def __init__(self, home: HomePorts) -> None:
         self.resting = True
         self._home = home
-        self._rest_timer: asyncio.TimerHandle | None = None
+        self._idle_timer: asyncio.TimerHandle | None = None
         self._session = Session()
         self._runner = CommandRunner(self._session, home.quotas)
         self._group: GroupService | None = None
@@ -50,16 +50,17 @@
         return self._session.state is TransactionState.OPEN
 
     def begin_work(self) -> None:
-        """A command begins."""
+        """Record that a command begins; stops the idle timer."""
         self.resting = False
-        if self._rest_timer is not None:
-            self._rest_timer.cancel()
-            self._rest_timer = None
+        if self._idle_timer is not None:
+            self._idle_timer.cancel()
+            self._idle_timer = None
 
     def end_work(self, on_expired: Callable[[], None]) -> None:
-        """A command has ended. The front ends a transaction that rests; if it does not, this does.
+        """Record that a command has ended; starts the idle timer if a transaction is open.
 
-        A front that is frozen would else hold the connection.
+        The front ends an idle transaction. A frozen front would keep the connection, so the timer
+        ends the transaction somewhat later and calls `on_expired`.
         """
 
         def expire() -> None:
@@ -69,10 +70,13 @@
         self.resting = True
         if self.in_transaction:
             wait = self._home.transaction_idle() + _FRONT_MARGIN_SECONDS
-            self._rest_timer = self._loop.call_later(wait, expire)
+            self._idle_timer = self._loop.call_later(wait, expire)
 
     def close(self) -> None:
-        """Begin nothing more; a transaction that is open is rolled back."""
+        """Start no further work and roll back an open transaction.
+
+        A transaction whose command is running is rolled back when the command ends.
+        """
         self._runner.caller_gone = True
         if self.resting:
             self._fail_transaction()
@@ -85,11 +89,11 @@
         self._session.end_transaction()
 
     async def run(self, message: RunCommand, group: GroupService | None) -> CommandAnswer:
-        """Carry a command out; errors are in the answer."""
+        """Run a command and return its answer, which also reports errors."""
         context: CommandContext | None = None
         try:
             if group is None:
-                raise RequestError(ErrorKind.NO_HOME, "the home does not know the group yet")
+                raise RequestError(ErrorKind.NO_HOME, "the home proxy does not know the group yet")
             now = self._loop.time()
             context = context_at_home(message, self._session, group.state, now)
             self._group = group
@@ -98,10 +102,10 @@
         except RequestError as error:
             self._fail_transaction()
             return answer_with_error(message, self._session, context, error)
-        except Exception as error:  # a fault of this program ends one command, not all
+        except Exception as error:  # a bug in this process fails one command, not all
             log_event("peer_command_failed", level=logging.ERROR, reason=repr(error))
             self._fail_transaction()
-            unknown = RequestError(ErrorKind.OUTCOME_UNKNOWN, "the home failed")
+            unknown = RequestError(ErrorKind.OUTCOME_UNKNOWN, "internal error of the home proxy")
             return answer_with_error(message, self._session, context, unknown)
         if self._runner.caller_gone:
             self._fail_transaction()
--- a/src/orchidwind/promoted/peers/served_link.py
+++ b/src/orchidwind/promoted/peers/served_link.py
@@ -1,7 +1,7 @@
-"""One link that another proxy opened to this one, at the home's side.
+"""The home's side of one link that another proxy opened to this one.
 
 For: `peer_service`. Owns the sessions that have work on the link, and the tasks that answer. Relies
-on `remote_session` for commands and on `HomePorts` for the lock and the views.
+on `remote_session` for commands and on `HomePorts` for the promotion lock and the views.
 """
 
 from __future__ import annotations
@@ -23,24 +23,27 @@
     ViewQuery,
 )
 from orchidwind.promoted.peers.home_ports import HomePorts, LinkWriter
-from orchidwind.promoted.peers.long_sends import LongSends
+from orchidwind.promoted.peers.long_sends import LongSendQueue
 from orchidwind.promoted.peers.remote_session import RemoteSession
 from orchidwind.shared.logs import log_event
 from orchidwind.shared.task_set import TaskSet
 
 
 class ServedLink:
-    """Answers what comes on one link. `proxy` is empty until the other side has named itself."""
+    """Answers the messages of one link.
+
+    `proxy` is the name of the other proxy, empty until its greeting was received.
+    """
 
     def __init__(
         self,
         home: HomePorts,
         writer: LinkWriter,
-        long_sends: LongSends,
+        long_sends: LongSendQueue,
         leaving: Callable[[], bool],
         on_greeting: Callable[[ServedLink], None],
     ) -> None:
-        """`leaving` tells whether this proxy stops."""
+        """`leaving` returns whether this proxy is stopping."""
         self.proxy = ""
         self._home = home
         self._writer = writer
@@ -50,12 +53,12 @@
         self._sending_whole_view = False
         self._ended = False
         self._leaving = leaving
-        # By channel, the number that the front gave the session.
+        # By channel: the number that the front assigned to the session.
         self._sessions: dict[int, RemoteSession] = {}
         self._tasks = TaskSet()
 
     def take(self, message: PeerMessage) -> None:
-        """A message came."""
+        """Handle a message from the other proxy."""
         if isinstance(message, RunCommand):
             self._run(message)
         elif isinstance(message, LockQuery):
@@ -80,13 +83,17 @@
             self.announce_leaving()
 
     def announce_leaving(self) -> None:
-        """Tell the other side that this proxy stops."""
+        """Tell the other proxy that this one is stopping."""
         self._send(Alive(leaving=True))
 
     # --- views and lock -----------------------------------------------------------------------
 
     def _report_view(self, query: ViewQuery) -> None:
-        """Report a view; one that is still being sent on this link is not sent a second time."""
+        """Report a view.
+
+        A long content is omitted while another one is being sent on this link, or while the queue
+        of long contents is full.
+        """
         if not query.whole or self._sending_whole_view or self._long_sends.full:
             self._send(self._home.report_view(msgspec.structs.replace(query, whole=False)))
             return
@@ -111,16 +118,16 @@
 
     @property
     def channels(self) -> int:
-        """How many sessions have work here."""
+        """The number of sessions that have work on this link."""
         return len(self._sessions)
 
     def close(self) -> None:
-        """Reset the link; what is open on it is rolled back."""
+        """Reset the link; transactions that are open on it are rolled back."""
         self.end()
         self._writer.close()
 
     def end(self) -> None:
-        """The link is gone, and so are its sessions."""
+        """Close all sessions of the link, whose connection has ended."""
         self._ended = True
         for channel in list(self._sessions):
             self._close_session(channel)
@@ -146,7 +153,7 @@
         self._drop_if_done(message.channel)
 
     def _drop_if_done(self, channel: int) -> None:
-        """A session is known only while it runs a command or has a transaction open."""
+        """Forget a session that neither runs a command nor has a transaction open."""
         session = self._sessions.get(channel)
         if session is not None and session.resting and not session.in_transaction:
             del self._sessions[channel]
--- a/src/orchidwind/promoted/peers/silence_watch.py
+++ b/src/orchidwind/promoted/peers/silence_watch.py
@@ -1,7 +1,7 @@
-"""The timers that ask `promoted.core.link_silence` what is to be done about one open link.
+"""The timers that detect silence of one open link, by the rules of `promoted.core.link_silence`.
 
-For: `PeerLink`. Owns two timers: one runs while an answer is owed, one while the link is in use.
-Relies on the core for every decision, and on the link to probe and to give up.
+For: `PeerLink`. Owns two timers: one runs while an answer is pending, one while the link is in use.
+Relies on the core for every decision, and on the link to send probes and to drop the connection.
 """
 
 from __future__ import annotations
@@ -16,10 +16,11 @@
 
 
 class WatchedLink(Struct, frozen=True):
-    """What the watch needs of its link.
+    """The functions of a link that the watch calls.
 
-    `last_byte_at`: when bytes came last, in seconds of the steady clock; None: it is not open.
-    `give_up` takes for how many seconds the link was silent.
+    `last_byte_at`: when bytes were last received, in seconds of the steady clock; None: not
+    connected. `probe` sends a probe. `give_up` drops the connection; its argument is for how many
+    seconds the link was silent.
     """
 
     last_byte_at: Callable[[], float | None]
@@ -28,25 +29,25 @@
 
 
 class SilenceWatch:
-    """Has a link probed, or given up, as its silence asks for it."""
+    """Probes a link that is silent, and drops its connection if it stays silent."""
 
     def __init__(self, silence: LinkSilence, link: WatchedLink) -> None:
         self._silence = silence
         self._link = link
         self._loop = asyncio.get_running_loop()
         self._answer_timer: asyncio.TimerHandle | None = None
-        self._rest_timer: asyncio.TimerHandle | None = None
+        self._idle_timer: asyncio.TimerHandle | None = None
 
-    def asked(self) -> None:
-        """Something was sent that is answered."""
+    def record_request(self) -> None:
+        """Record that a message was sent that the other side must answer."""
         self._silence.asked(self._loop.time())
         if self._answer_timer is None:
             self._check_answer_in(link_silence.LINK_PROBE_AFTER_SECONDS)
 
-    def used(self) -> None:
-        """Something was sent that a request waits for."""
+    def record_use(self) -> None:
+        """Record that a message was sent for a request: the link is probed while idle."""
         self._silence.used(self._loop.time())
-        self._check_rest_later()
+        self._check_idle_later()
 
     def _check_answer_in(self, seconds: float) -> None:
         self._answer_timer = self._loop.call_later(seconds, self._check_answer)
@@ -65,17 +66,17 @@
             self._link.probe()
         self._check_answer_in(link_silence.LINK_CHECK_SECONDS)
 
-    def _check_rest_later(self) -> None:
-        if self._rest_timer is None:
+    def _check_idle_later(self) -> None:
+        if self._idle_timer is None:
             seconds = link_silence.LINK_REST_PROBE_SECONDS
-            self._rest_timer = self._loop.call_later(seconds, self._check_rest)
+            self._idle_timer = self._loop.call_later(seconds, self._check_idle)
 
-    def _check_rest(self) -> None:
-        self._rest_timer = None
+    def _check_idle(self) -> None:
+        self._idle_timer = None
         now = self._loop.time()
         if self._link.last_byte_at() is None or not self._silence.in_use(now):
             return
         if self._silence.rest_probe_due(now):
             self._link.probe()
-            self.asked()
-        self._check_rest_later()
+            self.record_request()
+        self._check_idle_later()
--- a/src/orchidwind/promoted/views/__init__.py
+++ b/src/orchidwind/promoted/views/__init__.py
@@ -1,1 +1,1 @@
-"""Drivers of promoted groups: what is followed from the store and from other proxies."""
+"""Drivers of promoted groups: cached views of the store, confirmed by other proxies."""
--- a/src/orchidwind/promoted/views/collection_watch.py
+++ b/src/orchidwind/promoted/views/collection_watch.py
@@ -1,10 +1,10 @@
-"""Follows a collection of the store: lists it once, then takes changes as they come.
+"""Follows a collection of the store: lists it once, then watches for changes.
 
-For: `followed_views`, which has one watch a view. Owns the calls under way and their repetition.
-A watch without an answer looks the same whether nothing has changed or the store never read it. So
-each view has an age: as it grows, other proxies are asked whether it is still current, and in the
-end the store is read anew, whatever was waited for. Relies on `promoted.core.freshness` for when
-each of this is due, and on `held_view` for what is held.
+For: `followed_views`, which has one watch per view. Owns the calls in progress and their retries.
+A watch that has no answer looks the same whether nothing has changed or the store never read the
+request. Each view therefore has an age. As the age grows, other proxies are asked whether the view
+is still current; finally the whole collection is read again, even while a call is pending. Relies
+on `promoted.core.freshness` for when each step is due, and on `held_view` for the cached content.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 from orchidwind.promoted.ports import WatchedCollection
 from orchidwind.promoted.views.hedged_call import Arrival, hedged
 from orchidwind.promoted.views.held_view import CollectionFollower, HeldView
-from orchidwind.promoted.views.second_path import ReportedView, SecondPath
+from orchidwind.promoted.views.peer_source import PeerSource, ReportedView
 from orchidwind.shared.core.errors import PlatformError, PlatformVersionGone
 from orchidwind.shared.logs import is_power_of_two
 from orchidwind.shared.silence import ConnectionKind, OnSilent, SilentConnection, log_silent
@@ -34,12 +34,15 @@
 Answer = TypeVar("Answer")
 
 
-class _ReadAnew(PlatformError):
-    """The store is read anew: nothing showed that the view is current, or that it is not."""
+class _FullReadNeeded(PlatformError):
+    """The whole collection must be read again.
+
+    Nothing confirmed the view for too long, or another proxy holds a later one.
+    """
 
 
 class CollectionWatch(Generic[Item]):
-    """Keeps a follower up to date; goes on through outages of the store."""
+    """Keeps a follower up to date with a collection; continues through outages of the store."""
 
     def __init__(
         self,
@@ -47,29 +50,30 @@
         source: WatchedCollection[Item],
         follower: CollectionFollower[Item],
         times: FollowTimes,
-        gather_seconds: float = 0.0,
-        second_path: SecondPath[Item] | None = None,
+        batch_seconds: float = 0.0,
+        peer_source: PeerSource[Item] | None = None,
         on_silent: OnSilent = log_silent,
     ) -> None:
-        """`gather_seconds` after a change is the wait for more, where it need not be known at once.
+        """`batch_seconds`: a delay between a change and the next call, to collect more changes.
 
-        When many processes start together, each of them would else ask again for each of them.
+        Without it, when many processes start together, each watcher would call the store again for
+        each of them.
         """
         self.name = name
         self._source = source
         self._times = times
-        self._gather_seconds = gather_seconds
-        self._second_path = second_path
+        self._batch_seconds = batch_seconds
+        self._peer_source = peer_source
         self._on_silent = on_silent
         self._view = HeldView(name, follower, times)
         self._rule = self._view.rule
-        self._read_next = True
+        self._full_read_due = True
         self._connected = False
         self._pause = RetryPause(times)
         self._failed_attempts = 0
-        self._step_under_way: asyncio.Task[None] | None = None
-        # Since when the store is read without an answer; None where it is not being read.
-        self._reading_since: float | None = None
+        self._current_step: asyncio.Task[None] | None = None
+        # When the full read started that the store has not answered yet; None: there is none.
+        self._full_read_since: float | None = None
         self._loop = asyncio.get_running_loop()
 
     @property
@@ -79,66 +83,67 @@
 
     @property
     def confirmed_at(self) -> float:
-        """When the view was last known to be current, by the loop's clock; never: -inf."""
+        """When the view was last known to be current, on the loop's clock; -inf: never."""
         return self._loop.time() - self.age if self._view.known else float("-inf")
 
     @property
     def revision(self) -> StoreRevision:
-        """The view is whole as of this revision, or `NOTHING_HELD`."""
+        """The revision up to which the view is complete, or `NOTHING_HELD`."""
         return self._view.revision
 
     @property
     def changed_revision(self) -> StoreRevision:
-        """The view was last different before this revision."""
+        """The latest revision that brought a change of the content."""
         return self._view.changed_revision
 
     @property
     def evidence(self) -> str:
-        """What is held, how old it is, and who confirmed it last; for the log."""
+        """The revision held, its age and the last confirming source, as text for the log."""
         return self._view.evidence
 
     async def run(self) -> None:
-        """Follow until cancelled."""
+        """Follow the collection until cancelled."""
         while True:
             try:
                 await self._interruptible_step()
             except PlatformVersionGone:
                 self._view.log("watch_history_gone")
-                self._read_next = True
-            except _ReadAnew as error:
+                self._full_read_due = True
+            except _FullReadNeeded as error:
                 self._view.log("watch_given_up", reason=error)
-                self._read_next = True
+                self._full_read_due = True
             except PlatformError as error:
                 await self._after_error(error)
-            except Exception as error:  # a fault of this program must not end the following
+            except Exception as error:  # a bug in this process must not end the watch
                 self._view.log("watch_failed_unexpectedly", logging.ERROR, reason=repr(error))
                 await self._after_error(PlatformError(repr(error)))
 
     def store_came_back(self) -> None:
-        """The store is known to have come back from an older copy: read it anew now.
+        """Read the whole collection now: the store was restored from an older copy.
 
-        A call under way would be waited for, or its answer say nothing of the copy. A proxy that
-        does not watch the store leaves it to others: so not all read it at the same moment.
+        A pending call is cancelled, as its answer may be long in coming or not reflect the restored
+        copy. A proxy that does not watch the store does nothing and learns the content from other
+        proxies, so that not all proxies read the store at the same moment.
         """
         if self._rule.watch_wait(self._role) is None:
             return
-        self._read_next = True
-        if self._step_under_way is not None:
-            self._step_under_way.cancel()
+        self._full_read_due = True
+        if self._current_step is not None:
+            self._current_step.cancel()
 
     async def _interruptible_step(self) -> None:
-        self._step_under_way = asyncio.ensure_future(self._step())
+        self._current_step = asyncio.ensure_future(self._step())
         try:
-            await self._step_under_way
+            await self._current_step
         except asyncio.CancelledError:
             own = asyncio.current_task()
             if own is not None and own.cancelling():
                 raise
         finally:
-            self._step_under_way = None
+            self._current_step = None
 
     async def refresh(self) -> bool:
-        """Read the store now, beside what is under way; whether it answered."""
+        """Read the store now, in parallel to a pending call; return whether it answered."""
         try:
             await self._read(Arrival())
         except PlatformError as error:
@@ -147,32 +152,32 @@
         return True
 
     async def _step(self) -> None:
-        if self._read_next:
-            await self._read_whole()
+        if self._full_read_due:
+            await self._full_read()
             return
         wait = self._rule.watch_wait(self._role)
         if wait is None:
-            await self._live_on_others()
+            await self._follow_peers()
             return
         changed = await self._watch(wait)
-        if self._gather_seconds and changed:
-            await asyncio.sleep(self._gather_seconds)
+        if self._batch_seconds and changed:
+            await asyncio.sleep(self._batch_seconds)
 
     @property
     def _role(self) -> SourceRole:
-        if self._second_path is None:
+        if self._peer_source is None:
             return SourceRole.ALONE
-        return SourceRole.READER if self._second_path.relied_upon() else SourceRole.RELYING
+        return SourceRole.READER if self._peer_source.is_reader() else SourceRole.RELYING
 
     # --- the store ----------------------------------------------------------------------------
 
-    async def _read_whole(self) -> None:
+    async def _full_read(self) -> None:
         arrival = Arrival()
-        if self._reading_since is None:
-            self._reading_since = self._loop.time()
-        await self._answered(self._read(arrival), arrival, may_be_old=True)
-        self._read_next = False
-        await asyncio.sleep(self._gather_seconds)
+        if self._full_read_since is None:
+            self._full_read_since = self._loop.time()
+        await self._await_answer(self._read(arrival), arrival, may_be_old=True)
+        self._full_read_due = False
+        await asyncio.sleep(self._batch_seconds)
 
     async def _read(self, arrival: Arrival) -> None:
         sent_at = self._loop.time()
@@ -181,36 +186,37 @@
             lambda: self._source.list(limit, arrival.note),
             self._times.hedge_after,
             arrival,
-            self._outrun,
+            self._report_silent_read,
         )
         self._store_answered(listing.revision)
-        self._view.take_listing(listing, sent_at)
+        self._view.apply_listing(listing, sent_at)
 
-    def _outrun(self, seconds: float) -> None:
-        """A read was answered beside an older one that is silent."""
+    def _report_silent_read(self, seconds: float) -> None:
+        """Report the connection of a read that stayed silent while a later read was answered."""
         kind, to = ConnectionKind.STORE, f"store/GET/{self.name}"
         decision = "a later call was answered"
         self._on_silent(SilentConnection(kind, to, seconds, seconds, 1, decision))
 
     async def _watch(self, wait: float) -> bool:
-        """Wait for changes; whether there were any."""
+        """Wait up to `wait` seconds for changes and apply them; return whether there were any."""
         sent_at = self._loop.time()
         arrival = Arrival()
         limit = wait + self._times.answer_slack
         call = self._source.watch(self.revision, wait, limit, arrival.note)
-        changes = await self._answered(call, arrival, may_be_old=False)
-        told = bool(changes.changed or changes.gone)
-        as_of = self._rule.watch_confirms(sent_at, self._loop.time(), wait, told)
+        changes = await self._await_answer(call, arrival, may_be_old=False)
+        has_changes = bool(changes.changed or changes.gone)
+        as_of = self._rule.watch_confirms(sent_at, self._loop.time(), wait, has_changes)
         self._store_answered(changes.revision)
-        self._view.take_changes(changes, as_of)
-        return told
+        self._view.apply_changes(changes, as_of)
+        return has_changes
 
-    async def _answered(
+    async def _await_answer(
         self, call: Awaitable[Answer], arrival: Arrival, may_be_old: bool
     ) -> Answer:
-        """Wait for a call; meanwhile ask others as the view grows old.
+        """Wait for a call and return its answer; ask other proxies meanwhile as the view grows old.
 
-        Raises what the call raises, and _ReadAnew unless `may_be_old` or its answer is arriving.
+        Raises what the call raises. Also raises _FullReadNeeded if the view needs a full read,
+        unless `may_be_old` or the answer is arriving.
         """
         task = asyncio.ensure_future(call)
         try:
@@ -218,16 +224,16 @@
                 due_in = self._rule.check_due_in(self._loop.time(), self._role, may_be_old)
                 await asyncio.wait({task}, timeout=due_in)
                 if not task.done():
-                    await self._check_beside(arrival, may_be_old)
+                    await self._check_during_call(arrival, may_be_old)
             return await task
         finally:
             task.cancel()
 
-    async def _check_beside(self, arrival: Arrival, may_be_old: bool) -> None:
-        """Check the view while a call is under way; one that is arriving is not given up."""
+    async def _check_during_call(self, arrival: Arrival, may_be_old: bool) -> None:
+        """Check the view while a call is pending; do not abort a call whose answer is arriving."""
         arriving = self._rule.answer_arriving(self._loop.time(), arrival.at)
         if arriving:
-            self._reading_since = None
+            self._full_read_since = None
         await self._check(may_be_old or arriving)
 
     def _store_answered(self, revision: StoreRevision) -> None:
@@ -238,10 +244,10 @@
                 "watch_connected", revision=revision, failed_attempts=self._failed_attempts
             )
         self._failed_attempts = 0
-        self._reading_since = None
+        self._full_read_since = None
 
     async def _after_error(self, error: PlatformError) -> None:
-        self._read_next = True
+        self._full_read_due = True
         self._connected = False
         self._failed_attempts += 1
         if is_power_of_two(self._failed_attempts):
@@ -253,10 +259,11 @@
 
     # --- other proxies ------------------------------------------------------------------------
 
-    async def _live_on_others(self) -> None:
-        """Take confirmations and changes from others, until they rely on this proxy instead.
+    async def _follow_peers(self) -> None:
+        """Take confirmations and changes from other proxies, until this proxy becomes a reader.
 
-        Raises _ReadAnew where nobody confirmed the view for long, or one has a later one.
+        Raises _FullReadNeeded if no proxy confirmed the view in time, or one holds a later view
+        and did not send it.
         """
         while (role := self._role) is SourceRole.RELYING:
             due_in = self._rule.check_due_in(self._loop.time(), role, may_be_old=False)
@@ -264,32 +271,38 @@
             await self._check(may_be_old=False)
 
     async def _check(self, may_be_old: bool) -> None:
-        """Ask others where that is due; raises _ReadAnew where the store must be read."""
-        knows_more = await self._ask_others()
+        """Ask other proxies if that is due.
+
+        Raises _FullReadNeeded if the whole collection must be read again, unless `may_be_old`.
+        """
+        newer_peer = await self._ask_peers()
         self._view.log_if_too_old()
         if may_be_old:
             return
-        if knows_more:
-            raise _ReadAnew(f"{knows_more} holds a later one")
+        if newer_peer:
+            raise _FullReadNeeded(f"{newer_peer} holds a later view")
         if self._rule.read_due(self._loop.time()):
-            raise _ReadAnew("nothing showed that the view is still current")
+            raise _FullReadNeeded("no source confirmed the view in time")
 
-    async def _ask_others(self) -> str:
-        """Ask where that is due; who holds a later view and did not send it, or nobody."""
+    async def _ask_peers(self) -> str:
+        """Ask other proxies if that is due.
+
+        Returns the name of a proxy that holds a later view and did not send it, or "".
+        """
         now = self._loop.time()
-        if self._second_path is None or self._rule.ask_due_in(now, self._role) != 0.0:
+        if self._peer_source is None or self._rule.ask_due_in(now, self._role) != 0.0:
             return ""
         self._rule.asked(now)
-        unserved = self._rule.store_unserved(now, self._reading_since)
-        reported = await self._second_path.ask(self.revision, whole=unserved)
+        unserved = self._rule.store_unserved(now, self._full_read_since)
+        reported = await self._peer_source.ask(self.revision, whole=unserved)
         if reported is None:
             return ""
         if reported.omitted:
             return reported.peer
-        self._take_report(reported)
+        self._apply_report(reported)
         return ""
 
-    def _take_report(self, reported: ReportedView[Item]) -> None:
+    def _apply_report(self, reported: ReportedView[Item]) -> None:
         listing = reported.listing
         if listing is None:
             self._view.confirm(reported.as_of, reported.peer, reported.revision)
@@ -304,4 +317,4 @@
                 reported_revision=listing.revision,
                 reported_age=round(now - reported.as_of, 3),
             )
-        self._view.take_listing(listing, reported.as_of, reported.peer)
+        self._view.apply_listing(listing, reported.as_of, reported.peer)
--- a/src/orchidwind/promoted/views/configuration_follower.py
+++ b/src/orchidwind/promoted/views/configuration_follower.py
@@ -1,4 +1,4 @@
-"""Passes on what the watch of the configuration brings.
+"""Passes configurations from the watch to the proxy.
 
 For: `proxy_runtime`, which puts configurations in force. Owns nothing.
 """
@@ -12,17 +12,17 @@
 
 
 class ConfigurationFollower:
-    """Passes configurations on."""
+    """Passes each configuration that the watch receives to `adopt`."""
 
     def __init__(self, adopt: Callable[[PromotedConfiguration], bool]) -> None:
-        """`adopt` puts a configuration in force; whether it is a later one."""
+        """`adopt` puts a configuration in force and returns whether it is a later one."""
         self._adopt = adopt
 
     def listed(self, listing: Listing[PromotedConfiguration]) -> bool:
-        """The configuration as it is; whether it is a later one."""
+        """Adopt the listed configuration; return whether it is later than the one in force."""
         return any([self._adopt(item) for item in listing.items])
 
     def changed(self, changes: Changes[PromotedConfiguration]) -> None:
-        """A later one."""
+        """Adopt a changed configuration."""
         for item in changes.changed:
             self._adopt(item)
--- a/src/orchidwind/promoted/views/followed_views.py
+++ b/src/orchidwind/promoted/views/followed_views.py
@@ -1,7 +1,7 @@
-"""What a proxy follows from afar: which views, by which times, and who confirms them.
+"""Defines which views a proxy follows, by which times, and which proxies confirm them.
 
-For: `proxy_runtime`. Owns one watch a view. Relies on `core.freshness` for the times of a bound, on
-`collection_watch` to follow and on `peer_views` for the other proxies.
+For: `proxy_runtime`. Owns one watch per view. Relies on `core.freshness` to derive times from a
+bound, on `collection_watch` to follow the store and on `peer_views` to ask other proxies.
 """
 
 from __future__ import annotations
@@ -41,22 +41,22 @@
 from orchidwind.shared.core.quota import SHARE_VALID_SECONDS, QuotaRules
 
 PROMOTION_LOCK = "promotion_lock"
-# The age below which the view of the quota shares is kept, as a share of the time for which they
-# are valid: the rest is for a store that is down.
-_QUOTA_SHARES_FOLLOWED = 0.6
+# The bound on the age of the quota shares' view, as a fraction of the time for which the shares are
+# valid. The remainder covers an outage of the store.
+_QUOTA_SHARES_AGE_FRACTION = 0.6
 ROSTERS = "rosters"
-# How long a watch of lock and rosters waits, seconds. These cost time at most when they are
-# old: a revocation that goes unnoticed delays a change of primary by a second, and rosters are read
-# anew before one.
+# How long a watch of the promotion lock or the rosters waits for a change, seconds. A stale view of
+# them only costs time: a revocation that is noticed late delays a change of primary by a second,
+# and rosters are read again before a change of primary.
 _COORDINATION_WATCH_SECONDS = 8.0
-# How long further changes are waited for after one, seconds: many proxies or instances change at
-# the same time, and one answer then tells of several. Proxies of a site start within 0.3 s
-# of one another, and a new one gets work some seconds later in any case.
+# How long to wait for further changes to the list of proxies after one, seconds. Many proxies may
+# change at the same time, and one answer of the store then holds several changes. Proxies of a site
+# start within 0.3 s of one another, and a new one gets work some seconds later in any case.
 GATHER_MEMBERS_SECONDS = 0.6
-# An instance that leaves gets work for so much longer, far below the directory's bound.
-_GATHER_DIRECTORY_SECONDS = 0.15
-# As rosters are read anew before a change of primary, nobody waits for them.
-_GATHER_ROSTERS_SECONDS = 0.5
+# An instance that leaves receives work for this much longer, far below the directory's bound.
+_BATCH_DIRECTORY_SECONDS = 0.15
+# Rosters are read again before a change of primary, so no operation waits for this delay.
+_BATCH_ROSTERS_SECONDS = 0.5
 
 Spawn = Callable[[Callable[[], Awaitable[None]]], None]
 ProxiesOf = Callable[[], Iterable[ProxyMember]]
@@ -64,15 +64,17 @@
 
 
 class ProxyBounds(Struct, frozen=True):
-    """Times, in seconds, that others hold this proxy to, or that it may count on.
-
-    `entry_outlives`: how long a directory entry stays after its last renewal. `configuration` and
-    `directory`: the greatest age of these views; the defaults are those of the first users.
-    `members`: the age that the list of proxies is kept below. No promise rests on it: an old one
-    costs a hop, or connections of too many homes; new proxies take work after a seventh of it.
-    `revocation`: from the acknowledgement of a configuration that takes an API key away until no
-    request with it is accepted; None where that is not promised. `quotas`: how far the operations
-    of a tenant may exceed its quota.
+    """Time limits, in seconds, that this proxy must keep or may rely on.
+
+    `entry_outlives`: how long a directory entry remains after its last renewal.
+    `configuration` and `directory`: the maximum age of these views; the defaults are those of the
+    first users.
+    `members`: the maximum age of the list of proxies. No guarantee depends on it: a stale list
+    costs an extra hop, or connections from too many homes. New proxies receive work after a seventh
+    of it.
+    `revocation`: the time from the acknowledgement of a configuration that removes an API key until
+    no request with that key is accepted; None where there is no such guarantee.
+    `quotas`: how far the operations of a tenant may exceed its quota.
     """
 
     entry_outlives: float = DEFAULT_ENTRY_OUTLIVES_SECONDS
@@ -84,7 +86,11 @@
 
 
 class _PeerConfirmation(Struct, Generic[Item], frozen=True):
-    """How a view is confirmed by other proxies: by which times, by whom, and what they report."""
+    """How other proxies confirm a view.
+
+    `followers` returns the proxies that follow the view. `items` extracts the view's items from a
+    report, or returns None where the report has none.
+    """
 
     times: FollowTimes
     followers: ProxiesOf
@@ -92,7 +98,7 @@
 
 
 class ProxyViews:
-    """The followed views of one proxy; `watches` by their names."""
+    """The followed views of one proxy; `watches` holds each watch by the name of its view."""
 
     def __init__(
         self,
@@ -102,7 +108,7 @@
         metrics: ProxyMetrics,
         spawn: Spawn,
     ) -> None:
-        """`spawn` runs work in the background until the proxy closes."""
+        """`spawn` runs a coroutine function in the background until the proxy closes."""
         self.watches: dict[str, CollectionWatch[Any]] = {}
         self._ports = ports
         self._bounds = bounds
@@ -111,59 +117,62 @@
         self._spawn = spawn
 
     def follow_configuration(self, follower: CollectionFollower[PromotedConfiguration]) -> None:
-        """Follow the configuration; every proxy does, and any may confirm it."""
+        """Follow the configuration. Every proxy follows it, so any proxy may confirm it."""
         peers = _PeerConfirmation(
             FollowTimes.within(self._bounds.configuration, watched_by_all=False),
             lambda: self._network.members,
             reported_configuration,
         )
-        self._follow_confirmed(CONFIGURATION, self._ports.configuration, follower, peers)
+        self._follow_with_peers(CONFIGURATION, self._ports.configuration, follower, peers)
 
     def follow_members(self) -> None:
-        """Follow the list of proxies; every proxy does, and any may confirm it."""
+        """Follow the list of proxies. Every proxy follows it, so any proxy may confirm it."""
         peers = _PeerConfirmation(
             FollowTimes.within(self._bounds.members, watched_by_all=False),
             lambda: self._network.members,
             reported_members,
         )
         source = self._ports.member_source
-        self._follow_confirmed(MEMBERS, source, self._network, peers, GATHER_MEMBERS_SECONDS)
+        self._follow_with_peers(MEMBERS, source, self._network, peers, GATHER_MEMBERS_SECONDS)
 
     def follow_directory(
         self, follower: CollectionFollower[DirectoryEntry], followers: ProxiesOf
     ) -> None:
-        """Follow the directory; `followers` gives the proxies that do so and may confirm it."""
+        """Follow the directory; `followers` returns the proxies that follow and may confirm it."""
         peers = _PeerConfirmation(
             FollowTimes.within(self._bounds.directory), followers, reported_directory
         )
         source = self._ports.directory
-        self._follow_confirmed(DIRECTORY, source, follower, peers, _GATHER_DIRECTORY_SECONDS)
+        self._follow_with_peers(DIRECTORY, source, follower, peers, _BATCH_DIRECTORY_SECONDS)
 
     def follow_quota_shares(
         self, follower: CollectionFollower[QuotaShares], followers: ProxiesOf
     ) -> CollectionWatch[QuotaShares]:
-        """Follow who holds shares of the quotas; `followers` gives the proxies that do so."""
-        bound = SHARE_VALID_SECONDS * _QUOTA_SHARES_FOLLOWED
+        """Follow the proxies' shares of the quotas; returns the watch.
+
+        `followers` returns the proxies that follow the shares and may confirm the view.
+        """
+        bound = SHARE_VALID_SECONDS * _QUOTA_SHARES_AGE_FRACTION
         peers = _PeerConfirmation(
             FollowTimes.within(bound, watched_by_all=False), followers, reported_quota_shares
         )
         source = self._ports.quota_share_source
-        return self._follow_confirmed(QUOTA_SHARES, source, follower, peers)
+        return self._follow_with_peers(QUOTA_SHARES, source, follower, peers)
 
-    def _follow_confirmed(
+    def _follow_with_peers(
         self,
         name: str,
         source: WatchedCollection[Item],
         follower: CollectionFollower[Item],
         peers: _PeerConfirmation[Item],
-        gather_seconds: float = 0.0,
+        batch_seconds: float = 0.0,
     ) -> CollectionWatch[Item]:
-        """Follow a view that other proxies confirm, too."""
-        second_path = PeerViews(
+        """Follow a view that other proxies confirm as well; returns its watch."""
+        peer_source = PeerViews(
             name, peers.times, self._network, peers.followers, peers.items, self._ports.store_era
         )
         watch = CollectionWatch(
-            name, source, follower, peers.times, gather_seconds, second_path, self._metrics.silent
+            name, source, follower, peers.times, batch_seconds, peer_source, self._metrics.silent
         )
         self._follow(watch)
         return watch
@@ -182,7 +191,7 @@
                 source,
                 rosters,
                 times,
-                _GATHER_ROSTERS_SECONDS,
+                _BATCH_ROSTERS_SECONDS,
                 on_silent=self._metrics.silent,
             )
         )
@@ -194,26 +203,26 @@
         self._spawn(watch.run)
 
     def evidence(self) -> dict[str, str]:
-        """Of each view what is held, how old it is, and who confirmed it last."""
+        """Return, by view, the revision held, its age and the last confirming source."""
         return {name: watch.evidence for name, watch in self.watches.items()}
 
     @property
     def configuration_age(self) -> float:
-        """Seconds since the configuration in force was last known to be the newest."""
+        """Seconds since the configuration in force was known to be the newest; inf: unknown."""
         watch = self.watches.get(CONFIGURATION)
         return float("inf") if watch is None else watch.age
 
     @property
     def configuration_age_ms(self) -> int:
-        """The same in milliseconds; -1: unknown."""
+        """The age of the configuration in milliseconds; -1: unknown."""
         age = self.configuration_age
         return -1 if age == float("inf") else int(age * 1000)
 
     async def refresh_before_failover(self) -> bool:
-        """Read anew who may hold commits; whether the store answered.
+        """Read directory and rosters from the store again; return whether every read succeeded.
 
-        A view that is old without this proxy's knowing would miss a replica that alone confirmed a
-        commit, and the change of primary would lose it.
+        A view that is stale without this proxy knowing may lack the only replica that confirmed a
+        commit, and the change of primary would lose that commit.
         """
         views = [self.watches[name] for name in (DIRECTORY, ROSTERS) if name in self.watches]
         return all(await asyncio.gather(*(view.refresh() for view in views)))
--- a/src/orchidwind/promoted/views/held_view.py
+++ b/src/orchidwind/promoted/views/held_view.py
@@ -1,10 +1,10 @@
-"""What a proxy holds of one followed collection: as of which revision, and how old that is.
+"""A proxy's cached view of one followed collection: its revision and its age.
 
-For: `collection_watch`, which brings listings and changes from the store and from other proxies.
-Owns revision and age, and that nothing goes back to an earlier revision. What is said of an earlier
-era of the store changes nothing and confirms nothing; within an era an answer that a later one has
-overtaken does confirm, as what is held is later than it. Relies on
-`promoted.core.freshness` for the age, and on the follower for the items themselves.
+For: `collection_watch`, which supplies listings and changes from the store and from other proxies.
+Owns revision and age, and ensures that the view never returns to an earlier revision. An answer
+from an earlier store era neither changes nor confirms the view. Within an era an answer that
+arrives after a later one still confirms the view, as the view is at least as recent. Relies on
+`promoted.core.freshness` for the age, and on the follower to store the items.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from orchidwind.promoted.ports import Changes, Listing
 from orchidwind.shared.logs import is_power_of_two, log_event
 
-# Who showed a view to be current, in log lines, where it was not another proxy.
+# The name of the store as a confirming source in log lines; other sources are proxies' names.
 STORE = "store"
 
 Item = TypeVar("Item")
@@ -26,39 +26,41 @@
 
 
 class CollectionFollower(Protocol[Taken]):
-    """Takes what a watch brings."""
+    """Receives the content of a followed collection."""
 
     def listed(self, listing: Listing[Taken]) -> bool:
-        """All items as of a revision; what is missing is gone.
+        """Replace the content by all items as of a revision; items that are missing are gone.
 
-        Whether they differ from what was held, so that the view has changed for others, too.
+        Returns whether the content differs from before, in which case proxies that ask for this
+        view are sent the content.
         """
 
     def changed(self, changes: Changes[Taken]) -> None:
-        """Later changes."""
+        """Apply changes that are later than the content."""
 
 
 class HeldView(Generic[Item]):
-    """One view; `rule` has its age."""
+    """One view; `rule` tracks its age."""
 
     def __init__(self, name: str, follower: CollectionFollower[Item], times: FollowTimes) -> None:
         self.name = name
         self._follower = follower
         self._bound = times.bound
-        # The view is whole as of this revision; it was last different before `changed_revision`.
+        # The view is complete up to `revision`; `changed_revision` is the latest revision that
+        # brought a change of the content.
         self.revision = NOTHING_HELD
         self.changed_revision = NOTHING_HELD
-        # Who showed last that the view is current, and as of which revision of theirs.
+        # The source that last confirmed the view, and the revision that this source held.
         self._confirmed_by = ""
         self._confirmed_revision = NOTHING_HELD
-        self._passed_over = 0
+        self._ignored_answers = 0
         self._logged_too_old = False
         self._loop = asyncio.get_running_loop()
         self.rule = FollowRule(times, self._loop.time())
 
     @property
     def known(self) -> bool:
-        """Whether any content was taken since the start."""
+        """Whether any content was received since the start."""
         return self.revision >= 0
 
     @property
@@ -66,40 +68,43 @@
         """Seconds since the view was last known to be current, or since the start."""
         return self.rule.age(self._loop.time())
 
-    def take_listing(self, listing: Listing[Item], as_of: float, source: str = STORE) -> None:
-        """All items, current at a time. One overtaken by a later one only confirms the view."""
+    def apply_listing(self, listing: Listing[Item], as_of: float, source: str = STORE) -> None:
+        """Apply all items, which were current at `as_of`.
+
+        A listing older than the view only confirms it.
+        """
         if not self.known:
             self.rule.first_known(as_of)
         if listing.revision >= self.revision:
             differs = self._follower.listed(listing)
-            # Of another era nobody who asks can know by a revision whether it holds the same.
+            # Across eras a proxy that asks cannot tell by revision whether its content is the same.
             if differs or listing.revision.era != self.revision.era:
                 self.changed_revision = listing.revision
             self.revision = listing.revision
         self.confirm(as_of, source, listing.revision)
 
-    def _of_this_era(self, revision: StoreRevision, source: str) -> bool:
-        """Whether what came speaks of the era that is held; logs a few of those that do not."""
+    def _is_current_era(self, revision: StoreRevision, source: str) -> bool:
+        """Whether a revision belongs to the view's store era; logs some of those that do not."""
         if revision.era == self.revision.era:
             return True
-        self._passed_over += 1
-        if is_power_of_two(self._passed_over):
+        self._ignored_answers += 1
+        if is_power_of_two(self._ignored_answers):
             self.log(
                 "earlier_era_passed_over",
-                count=self._passed_over,
+                count=self._ignored_answers,
                 source=source,
                 revision=revision,
-                decision="neither take it nor count the view as confirmed",
+                decision="the answer is ignored and does not confirm the view",
             )
         return False
 
-    def take_changes(self, changes: Changes[Item], as_of: float) -> None:
-        """Later changes, or none, current at a time."""
-        if not self._of_this_era(changes.revision, STORE):
+    def apply_changes(self, changes: Changes[Item], as_of: float) -> None:
+        """Apply later changes, if any; the result was current at `as_of`."""
+        if not self._is_current_era(changes.revision, STORE):
             return
         if changes.revision >= self.revision:
-            # Taken before the revision is claimed: another proxy that asks is told by it what is
-            # held, and a fault of the follower must leave the view as it was.
+            # Applied before the revision is set: the revision tells other proxies what this one
+            # holds, so an error of the follower must leave it unchanged.
             self._follower.changed(changes)
             self.revision = changes.revision
             if changes.changed or changes.gone:
@@ -107,8 +112,8 @@
         self.confirm(as_of, STORE, changes.revision)
 
     def confirm(self, as_of: float, source: str, revision: StoreRevision) -> None:
-        """What is held was current at a time: a source shows it, whose view has a revision."""
-        if not self._of_this_era(revision, source):
+        """Record that the view was current at `as_of`, as a source with a revision showed."""
+        if not self._is_current_era(revision, source):
             return
         self.rule.confirmed(as_of)
         self._confirmed_by, self._confirmed_revision = source, revision
@@ -118,14 +123,14 @@
 
     @property
     def evidence(self) -> str:
-        """Who showed last that the view is current, for the log."""
+        """The revision held, its age and the last confirming source, as text for the log."""
         return (
             f"held={self.revision},age={self.age:.3f}s,"
             f"confirmed_by={self._confirmed_by}@{self._confirmed_revision}"
         )
 
     def log_if_too_old(self) -> None:
-        """One line when the view grows older than is promised."""
+        """Log once when the view exceeds its maximum age."""
         if self._logged_too_old or not self.rule.too_old(self._loop.time()):
             return
         self._logged_too_old = True
@@ -133,11 +138,11 @@
             "view_too_old",
             logging.WARNING,
             bound=self._bound,
-            decision="serve on, as nobody reached knows better",
+            decision="continue to serve, as no reachable source has a newer view",
         )
 
     def log(self, event: str, level: int = logging.INFO, **fields: object) -> None:
-        """Log an event with what this view is and how old."""
+        """Log an event with the name, revision and age of this view."""
         log_event(
             event,
             level=level,
--- a/src/orchidwind/promoted/views/peer_views.py
+++ b/src/orchidwind/promoted/views/peer_views.py
@@ -1,13 +1,15 @@
-"""The second path of views that a promise depends on: proxies confirm them to one another.
-
-For: `followed_views`, as the `SecondPath` of a watch. Owns whom to ask next. Relies on `core.homes`
-for who the readers are, on `core.freshness` for times, and on the links to other proxies.
-
-In each zone one proxy, the reader, watches the store closely; the others of the zone ask it, and
-the readers of other zones where it does not answer or is behind itself. All proxies compute the
-same readers from the same members. Weighed: each proxy watches closely (its calls grow with the
-number of proxies, and are the dearest price on large sites), and readers that push (one more
-message type, and silence of a reader still needs a clock at the other side).
+"""Lets proxies confirm views to one another, so that a bound on their age holds without the store.
+
+For: `followed_views`, as the `PeerSource` of a watch. Owns the choice of the proxies to ask next.
+Relies on `core.homes` for the choice of readers, on `core.freshness` for times, and on the links to
+other proxies.
+
+In each zone one proxy, the reader, watches the store closely. The other proxies of the zone ask the
+reader; where it does not answer or holds a stale view, they ask the readers of other zones. All
+proxies compute the same readers from the same members. Alternatives considered: every proxy watches
+closely (the number of calls grows with the number of proxies, and is the highest cost on large
+sites), and readers push changes (one more message type, and the receiver still needs a timer to
+detect a silent reader).
 """
 
 from __future__ import annotations
@@ -25,27 +27,27 @@
 from orchidwind.promoted.peers.peer_network import PeerNetwork
 from orchidwind.promoted.ports import Listing
 from orchidwind.promoted.store_era import StoreEra
-from orchidwind.promoted.views.second_path import ReportedView
+from orchidwind.promoted.views.peer_source import ReportedView
 from orchidwind.shared.core.errors import PeerUnavailable
 from orchidwind.shared.logs import log_event
 
-# The names of the views on the wire between proxies.
+# The names of the views in messages between proxies.
 CONFIGURATION = "configuration"
 DIRECTORY = "directory"
 MEMBERS = "members"
 QUOTA_SHARES = "quota_shares"
-# An answer is waited for so many seconds. Between two zones it takes some milliseconds, on
-# a machine slowed fivefold some dozens; a silent link is found after 0.4 s (`core.link_silence`).
+# Time limit for an answer, seconds. Between two zones an answer takes some milliseconds, and some
+# dozens on a machine slowed fivefold; a silent link is detected after 0.4 s (`core.link_silence`).
 _ANSWER_SECONDS = 0.5
-# So many proxies are asked at a time: the reader of the zone, and one more. Each costs a
-# message, and a silent one costs its time.
-_MOST_ASKED = 2
+# How many proxies are asked per query, one after the other: the reader of the zone, and one more.
+# Each costs a message, and a silent one costs its time limit.
+_MAX_ASKED = 2
 
 Item = TypeVar("Item")
 
 
 class PeerViews(Generic[Item]):
-    """The other proxies' views of one collection, to a proxy that follows it too."""
+    """Asks other proxies for their views of one collection that this proxy follows as well."""
 
     def __init__(
         self,
@@ -56,25 +58,29 @@
         items: Callable[[ViewReport], tuple[Item, ...] | None],
         store_era: StoreEra,
     ) -> None:
-        """`followers` gives the proxies that follow the collection, this one among them."""
+        """`followers` returns the proxies that follow the collection, including this one.
+
+        `items` extracts the collection's items from a report, or returns None if it has none.
+        """
         self._store_era = store_era
         self._view = view
-        # With an older view the store would be read at once: then the next proxy is asked, too.
+        # A report older than this would not avoid a read of the store: the next proxy is asked.
         self._fresh_seconds = times.read_at_age or 0.0
         self._whole_seconds = times.whole_wait
-        self._seldom = times.ask_every is None or times.ask_every > LINK_REST_PROBE_SECONDS
+        self._infrequent = times.ask_every is None or times.ask_every > LINK_REST_PROBE_SECONDS
         self._network = network
         self._followers = followers
         self._items = items
-        self._asked = 0
+        self._queries_sent = 0
         self._generation = -1
         self._zone_readers: Mapping[str, ProxyMember] = {}
         self._loop = asyncio.get_running_loop()
 
-    def relied_upon(self) -> bool:
-        """Whether others ask this proxy; also where there is nobody else to ask.
+    def is_reader(self) -> bool:
+        """Whether this proxy is its zone's reader, or its zone has no reader to ask.
 
-        Not while the others are still being read: the view's age then has the store read again.
+        False until the list of proxies was read; meanwhile the view's age triggers reads of the
+        store.
         """
         if not self._network.known:
             return False
@@ -89,32 +95,32 @@
         return self._zone_readers
 
     async def ask(self, revision: StoreRevision, whole: bool) -> ReportedView[Item] | None:
-        """Ask one or two readers; the best that was reported, None where nobody knows.
+        """Ask one or two readers; return the best report, None if no reader reported the view.
 
-        With `whole` they send the content however long it is.
+        With `whole` the readers send the content however long it is.
         """
         best: ReportedView[Item] | None = None
-        for link in self._links()[:_MOST_ASKED]:
+        for link in self._links()[:_MAX_ASKED]:
             reported = await self._ask_one(link, revision, whole)
-            if reported is not None and (best is None or _better(reported, best)):
+            if reported is not None and (best is None or _is_better(reported, best)):
                 best = reported
-            if best is not None and self._suffices(best, whole):
+            if best is not None and self._is_sufficient(best, whole):
                 break
         return best
 
-    def _suffices(self, reported: ReportedView[Item], whole: bool) -> bool:
-        """Whether nobody else need be asked."""
+    def _is_sufficient(self, reported: ReportedView[Item], whole: bool) -> bool:
+        """Whether no further proxy needs to be asked."""
         if whole and reported.omitted:
             return False
         return self._loop.time() - reported.as_of <= self._fresh_seconds
 
     def _links(self) -> list[PeerLink]:
-        """Links to the readers that can be asked: first that of the zone, then others in turn."""
+        """Links to the reachable readers: the own zone's first, then the others in rotation."""
         own = self._network.own
         readers = self._readers()
         others = [readers[zone] for zone in sorted(readers) if zone != own.zone]
-        self._asked += 1
-        turn = self._asked % len(others) if others else 0
+        self._queries_sent += 1
+        turn = self._queries_sent % len(others) if others else 0
         order = [readers[own.zone]] if own.zone in readers else []
         order += others[turn:] + others[:turn]
         links = [self._network.usable_link(member) for member in order if member.name != own.name]
@@ -126,7 +132,7 @@
         asked_at = self._loop.time()
         try:
             async with asyncio.timeout(self._whole_seconds if whole else _ANSWER_SECONDS):
-                report = await link.ask_view(self._view, revision, whole, self._seldom)
+                report = await link.ask_view(self._view, revision, whole, self._infrequent)
         except (PeerUnavailable, TimeoutError) as error:
             reason = str(error) or "no answer in time"
             log_event(
@@ -137,13 +143,13 @@
             return None
         as_of = StoreRevision(report.revision)
         if not self._store_era.saw(as_of.era, link.member.name):
-            return None  # it does not know yet that the store came back
+            return None  # the report precedes the restore of the store that this proxy knows of
         items = self._items(report)
         listing = Listing(items, as_of) if items is not None else None
         current_at = asked_at - report.age
         return ReportedView(link.member.name, current_at, as_of, listing, report.omitted)
 
 
-def _better(reported: ReportedView[Any], best: ReportedView[Any]) -> bool:
-    """Whether a report is of more use than another."""
+def _is_better(reported: ReportedView[Any], best: ReportedView[Any]) -> bool:
+    """Whether a report is more useful than another: content comes first, then the later time."""
     return (reported.listing is not None, reported.as_of) > (best.listing is not None, best.as_of)
--- a/src/orchidwind/promoted/views/view_forms.py
+++ b/src/orchidwind/promoted/views/view_forms.py
@@ -1,4 +1,4 @@
-"""How the views that proxies report to one another are put into messages and taken out again.
+"""Converts views between their in-memory form and the messages in which proxies report them.
 
 For: `view_reporter`, which fills reports, and `followed_views`, which reads them. No I/O.
 """
@@ -13,7 +13,7 @@
 
 
 def configuration_view(configuration: PromotedConfiguration) -> ConfigurationView:
-    """A configuration as it is sent."""
+    """Return the message form of a configuration."""
     return ConfigurationView(
         configuration.version,
         tuple(configuration.databases.values()),
@@ -25,7 +25,7 @@
 
 
 def reported_configuration(report: ViewReport) -> tuple[PromotedConfiguration, ...] | None:
-    """The configuration that a report holds, None where there is none."""
+    """Return the configuration in a report as the only item, None if the report has none."""
     view = report.configuration
     if view is None:
         return None
@@ -44,17 +44,17 @@
 
 
 def reported_members(report: ViewReport) -> tuple[ProxyMember, ...] | None:
-    """The members that a report holds, None where there are none."""
+    """Return the proxies in a report, None if the report has none."""
     return None if report.members is None else report.members.proxies
 
 
 def quota_shares_view(shares: QuotaShares) -> QuotaSharesView:
-    """The quota shares as they are sent."""
+    """Return the message form of the quota shares."""
     return QuotaSharesView(shares.holders, shares.following, int(shares.revision))
 
 
 def reported_quota_shares(report: ViewReport) -> tuple[QuotaShares, ...] | None:
-    """The quota shares that a report holds, None where there are none."""
+    """Return the quota shares in a report as the only item, None if the report has none."""
     view = report.quota_shares
     if view is None:
         return None
@@ -62,5 +62,5 @@
 
 
 def reported_directory(report: ViewReport) -> tuple[DirectoryEntry, ...] | None:
-    """The directory that a report holds, None where there is none."""
+    """Return the directory entries in a report, None if the report has none."""
     return None if report.directory is None else report.directory.entries
--- a/src/orchidwind/promoted/views/view_reporter.py
+++ b/src/orchidwind/promoted/views/view_reporter.py
@@ -1,7 +1,7 @@
-"""Answers other proxies that ask what this one holds of a view.
+"""Answers other proxies' queries for the views that this proxy holds.
 
-For: `peers.served_link`, by way of `HomePorts`. Owns the bound above which a content is sent only
-to a proxy that the store does not serve. Relies on the watches for revision and age.
+For: `peers.served_link`, through `HomePorts`. Owns the size limit above which content is sent only
+to a proxy that gets no answer from the store. Relies on the watches for revision and age.
 """
 
 from __future__ import annotations
@@ -33,14 +33,14 @@
 )
 from orchidwind.promoted.views.view_forms import configuration_view, quota_shares_view
 
-# A view with more items is not sent unasked: the others read it at the store, which has the
-# bandwidth. So many items have about 10 KB, which to 30 proxies at once take 0.25 s of a
-# link of 10 Mbit/s; small sites stay below it (docs/DECISIONS.md).
-MOST_REPORTED_ITEMS = 200
+# A view with more items is sent only on explicit request: other proxies read it from the store,
+# which has the bandwidth. This many items are about 10 KB; sent to 30 proxies at once they take
+# 0.25 s of a link of 10 Mbit/s. Small sites stay below it (docs/DECISIONS.md).
+MAX_REPORTED_ITEMS = 200
 
 
 class HeldViews(Protocol):
-    """What a proxy holds of the views that it reports to others."""
+    """Access to the views of a proxy that it reports to other proxies."""
 
     configuration: PromotedConfiguration | None
     metrics: ProxyMetrics
@@ -48,29 +48,29 @@
 
     @property
     def quota_shares(self) -> QuotaShares:
-        """Who holds shares of the tenants' quotas."""
+        """The proxies' shares of the tenants' quotas."""
 
     @property
     def directory(self) -> Mapping[str, DirectoryEntry]:
-        """The instances that are known."""
+        """The known instances, by name."""
 
     @property
     def members(self) -> Iterable[ProxyMember]:
-        """All proxies that are known."""
+        """All known proxies."""
 
     def watch(self, view: str) -> CollectionWatch[Any] | None:
-        """The watch of a view, None where the proxy does not follow it."""
+        """Return the watch of a view, None if the proxy does not follow it."""
 
 
 class _Content(Struct, frozen=True):
-    """How one view is reported: how many items it holds, and a report that holds them."""
+    """How one view is reported: `items` counts its items, `fill` adds them to a report."""
 
     items: Callable[[], int]
     fill: Callable[[ViewReport], ViewReport]
 
 
 class ViewReporter:
-    """Reports to other proxies what this one knows."""
+    """Reports this proxy's views to other proxies."""
 
     def __init__(self, held: HeldViews) -> None:
         self._held = held
@@ -82,7 +82,7 @@
         }
 
     def report(self, query: ViewQuery) -> ViewReport:
-        """Answer a query."""
+        """Answer a query: report revision and age, and the content where the asker needs it."""
         asked = StoreRevision(query.revision)
         if asked != NOTHING_HELD:
             self._held.store_era.saw(asked.era, "another proxy")
@@ -94,7 +94,7 @@
         if watch.changed_revision <= asked:
             self._held.metrics.view_reported(query.view, "confirmed", 0)
             return report
-        if not query.whole and content.items() > MOST_REPORTED_ITEMS:
+        if not query.whole and content.items() > MAX_REPORTED_ITEMS:
             self._held.metrics.view_reported(query.view, "omitted", 0)
             return omitted(report)
         self._held.metrics.view_reported(query.view, "content", content.items())
@@ -124,7 +124,7 @@
 
 
 def omitted(report: ViewReport) -> ViewReport:
-    """The same report without content; it tells that there is one."""
+    """Return a copy of a report without content, marked as omitting it."""
     return msgspec.structs.replace(
         report, omitted=True, configuration=None, directory=None, members=None, quota_shares=None
     )
