--- a/src/orchidwind/promoted/peers/forwarding.py
+++ b/src/orchidwind/promoted/peers/forwarding.py
@@ -177,9 +177,9 @@
 
     def give_up(self) -> None:
         """Abandon the open transaction, if any: the home rolls it back."""
-        channel, self._transaction_channel = self._transaction_channel, None
-        if channel is not None:
-            channel.link.notify(CloseChannel(channel.number))
+        abandoned, self._transaction_channel = self._transaction_channel, None
+        if abandoned is not None:
+            abandoned.link.notify(CloseChannel(abandoned.number))
 
     def caller_left(self) -> None:
         """Close the channel of the running command, as the caller has disconnected.
--- a/src/orchidwind/promoted/peers/home_ports.py
+++ b/src/orchidwind/promoted/peers/home_ports.py
@@ -14,7 +14,7 @@
 from orchidwind.promoted.group.group_service import GroupService
 from orchidwind.promoted.quotas.quota_service import NoQuotas, Quotas
 
-SendBack = Callable[[PeerMessage], None]
+SendMessage = Callable[[PeerMessage], None]
 GroupLookup = Callable[[str], GroupService | None]
 ReadLock = Callable[[int], Awaitable[LockReport]]
 LendTokens = Callable[[str, float], float]
@@ -25,7 +25,7 @@
     return 0.0
 
 
-def _no_target(database: str) -> float | None:
+def _unknown_target_latency(database: str) -> float | None:
     return None
 
 
@@ -47,7 +47,7 @@
     read_lock: ReadLock
     transaction_idle: Callable[[], float]
     report_view: ReportView
-    target_latency: Callable[[str], float | None] = _no_target
+    target_latency: Callable[[str], float | None] = _unknown_target_latency
     quotas: Quotas = NoQuotas()
     lend_tokens: LendTokens = _no_tokens
 
@@ -59,6 +59,6 @@
     sent. `close` resets the connection.
     """
 
-    send: SendBack
+    send: SendMessage
     drained: Callable[[], Awaitable[None]]
     close: Callable[[], None]
--- a/src/orchidwind/promoted/peers/own_entry.py
+++ b/src/orchidwind/promoted/peers/own_entry.py
@@ -63,7 +63,7 @@
             self._spread = 0.0
             await self.write()
 
-    def missing(self) -> None:
+    def on_missing(self) -> None:
         """Write the entry, as a full list lacks this proxy; ignored if it was written recently."""
         if self._loop.time() - self._written_at > OWN_ENTRY_LISTED_AFTER_SECONDS:
             self._write_due.set()
@@ -73,7 +73,7 @@
         self._spread = _RELISTING_SPREAD_SECONDS
         self._write_due.set()
 
-    def removed(self) -> None:
+    def on_removed(self) -> None:
         """Write the entry again: another proxy could not reach this one and removed the entry."""
         self._write_due.set()
 
--- a/src/orchidwind/promoted/peers/peer_network.py
+++ b/src/orchidwind/promoted/peers/peer_network.py
@@ -102,7 +102,7 @@
         before, first = self._members, not self.known
         self._listed = {member.name: member for member in listing.items}
         if self.own.name not in self._listed:
-            self.own_entry.missing()
+            self.own_entry.on_missing()
         if not first and listing.revision.era > self._era:
             self._retain(before)
         self._era = listing.revision.era
@@ -110,7 +110,7 @@
         self.known = True
         if not first and self._members == before:
             return False
-        self._changed()
+        self._members_changed()
         return True
 
     def changed(self, changes: Changes[ProxyMember]) -> None:
@@ -122,10 +122,10 @@
             self._listed.pop(name, None)
             self._retained.pop(name, None)
         if self.own.name in changes.gone:
-            self.own_entry.removed()
+            self.own_entry.on_removed()
         self._merge()
         if self._members != before:
-            self._changed()
+            self._members_changed()
 
     def _merge(self) -> None:
         self._retained = {
@@ -149,9 +149,9 @@
         log_event("members_not_listed_again", members=",".join(sorted(self._retained)))
         self._retained.clear()
         self._merge()
-        self._changed()
+        self._members_changed()
 
-    def _changed(self) -> None:
+    def _members_changed(self) -> None:
         for name, link in list(self._links.items()):
             if self._members.get(name) != link.member:
                 del self._links[name]
--- a/tests/promoted/test_followed_views.py
+++ b/tests/promoted/test_followed_views.py
@@ -1,13 +1,14 @@
-"""What a proxy follows from afar is never older than the promises that rest on it allow.
+"""Followed views of a proxy never exceed the maximum age that the configured bounds allow.
 
-Incident inc1: the store took calls while it was away and never answered them.
+Guards against a store that accepts calls during an outage and never answers them: a proxy that
+waited for such a call would keep a stale view after the store is back.
 """
 
 import asyncio
 
 from support.platform_system import SERVICE, LineClient, with_system
 
-# The bounds of the first users' smaller deployments, with a shorter one for a drain.
+# The bounds of the first users' smaller deployments, with a shorter bound for a drain.
 BOUNDS = {"config_apply_ms": 3000, "contact_ms": 4000, "drain_ms": 4000}
 APPLY_SECONDS = BOUNDS["config_apply_ms"] / 1000
 DRAIN_SECONDS = BOUNDS["drain_ms"] / 1000
@@ -15,13 +16,13 @@
 
 
 async def silence(store, seconds=SILENCE_SECONDS):
-    """The store takes calls and answers none, for a while."""
+    """Let the store accept calls without answering them for some seconds."""
     store.fall_silent()
     await asyncio.sleep(seconds)
     store.speak_again()
 
 
-def test_a_configuration_is_in_force_in_time_though_the_store_swallowed_a_watch(tmp_path):
+def test_configuration_applies_in_time_after_the_store_lost_a_watch(tmp_path):
     async def scenario(system):
         await silence(system.store)
         system.write_configuration({"latest": "primary", "later": "primary"})
@@ -32,7 +33,7 @@
     with_system(tmp_path, scenario, bounds=BOUNDS)
 
 
-def test_an_instance_that_leaves_is_known_in_time_though_the_store_swallowed_a_watch(tmp_path):
+def test_draining_instance_is_known_in_time_after_the_store_lost_a_watch(tmp_path):
     async def scenario(system):
         await silence(system.store)
         system.write_entry(system.group.instances["i-1"], state="draining")
@@ -43,7 +44,7 @@
     with_system(tmp_path, scenario, bounds=BOUNDS)
 
 
-def test_an_entry_that_is_not_as_described_hides_no_other_and_ends_nothing(tmp_path):
+def test_malformed_entries_do_not_hide_others_or_end_the_watch(tmp_path):
     async def scenario(system):
         bad = {"service": SERVICE, "address": "no-port", "zone": "z1"}
         system.store.put("servers", "i-bad", bad)
--- a/tests/promoted/test_forwarding.py
+++ b/tests/promoted/test_forwarding.py
@@ -1,4 +1,4 @@
-"""More proxies than an instance's connections: some forward to the homes of their group."""
+"""Forwarding to home proxies when an instance has fewer connections than proxies need."""
 
 import asyncio
 
@@ -41,7 +41,7 @@
     return next(name for name in PROXIES if name not in homes(system))
 
 
-def test_a_calm_day_through_few_homes_serves_everything():
+def test_all_requests_succeed_through_few_homes_without_faults():
     system = play(1, [])
     assert system.world.history.broken == []
     assert len(homes(system)) == 2
@@ -51,7 +51,7 @@
     assert len(system.tally.attempts) > 200
 
 
-def test_instances_see_connections_of_homes_only():
+def test_instances_have_connections_from_homes_only():
     system = play(2, [])
     for instance in system.group.instances.values():
         assert {link.node for link in instance.links} <= set(homes(system))
@@ -61,14 +61,14 @@
     system.restart_proxy(homes(system)[0])
 
 
-def test_a_home_that_is_killed_is_replaced_by_another():
+def test_killed_home_is_replaced_by_another():
     system = play(3, [(2.0, kill_a_home), (3.0, kill_a_home)])
     assert system.world.history.broken == []
     times = [time for time in system.tally.write_times if time > 2.05]
     assert times[0] < 2.6
 
 
-def cut_fronts_from_a_home(system):
+def cut_fronts_from_one_home(system):
     home = homes(system)[0]
     for name in PROXIES:
         if name != home:
@@ -76,7 +76,7 @@
 
 
 def test_a_home_that_goes_silent_is_left():
-    system = play(4, [(2.0, cut_fronts_from_a_home)], 8.0, callers_a_node=1)
+    system = play(4, [(2.0, cut_fronts_from_one_home)], 8.0, callers_a_node=1)
     assert system.world.history.broken == []
     later = [a for a in system.tally.attempts if a.ended_at > 3.0]
     failed = [a for a in later if a.error and a.error is not ErrorKind.TRANSACTION_LOST]
@@ -84,13 +84,13 @@
     assert len(later) > 100
 
 
-def test_a_crashed_primary_is_replaced_by_the_homes():
+def test_homes_replace_a_crashed_primary():
     system = play(5, [(2.0, lambda system: system.group.primary().crash())])
     assert system.world.history.broken == []
     assert len(system.world.history.promotions) == 1
 
 
-def test_without_homes_a_proxy_serves_by_itself():
+def test_proxy_serves_requests_itself_without_reachable_homes():
     def cut_off(system):
         front = front_of(system)
         for home in homes(system):
@@ -124,7 +124,7 @@
     return Command(request_id, kind, text, **more)
 
 
-def test_settings_prepared_statements_and_floors_go_along():
+def test_settings_prepared_statements_and_floors_are_forwarded():
     async def scenario(system, executor):
         await executor.execute(command(CommandKind.SET, "SET a 1", name="a", argument="1"))
         prepare = command(
@@ -155,7 +155,7 @@
     with_front(scenario)
 
 
-def test_a_caller_that_leaves_has_its_transaction_rolled_back_at_the_home():
+def test_transaction_of_a_disconnected_caller_is_rolled_back_at_the_home():
     async def scenario(system, executor):
         await executor.execute(command(CommandKind.BEGIN, "BEGIN"))
         await executor.execute(command(CommandKind.WRITE, "WRITE x y", "w1"))
@@ -168,7 +168,7 @@
     with_front(scenario)
 
 
-def test_a_leaving_home_gets_nothing_new_and_ends_what_is_open():
+def test_stopping_home_gets_no_new_work_and_finishes_open_transactions():
     async def scenario(system, executor):
         await executor.execute(command(CommandKind.BEGIN, "BEGIN"))
         await executor.execute(command(CommandKind.WRITE, "WRITE x y", "w1"))
@@ -185,7 +185,7 @@
 
 
 @pytest.mark.parametrize(
-    ("kind", "in_transaction", "wrote", "opened", "sent", "told"),
+    ("kind", "in_transaction", "wrote", "opened", "sent", "expected"),
     [
         (CommandKind.READ, False, False, False, True, None),
         (CommandKind.WRITE, False, False, False, False, None),
@@ -198,16 +198,16 @@
         (CommandKind.COMMIT, True, False, True, True, ErrorKind.READ_INTERRUPTED),
     ],
 )
-def test_what_a_lost_home_means(kind, in_transaction, wrote, opened, sent, told):
+def test_what_a_lost_home_means(kind, in_transaction, wrote, opened, sent, expected):
     session = Session()
     if in_transaction:
         session.transaction = OpenTransaction(None, False, wrote=wrote)
     error = after_lost_home(session, command(kind, ""), opened, sent)
-    assert (error.kind if error else None) is told
+    assert (error.kind if error else None) is expected
 
 
 @pytest.mark.parametrize(
-    ("text", "told"),
+    ("text", "expected"),
     [
         ("READ x", ErrorKind.STATEMENT_TIMEOUT),
         ("WRITE x y", ErrorKind.OUTCOME_UNKNOWN),
@@ -215,7 +215,9 @@
         ("WRITE in transaction", ErrorKind.TRANSACTION_LOST),
     ],
 )
-def test_a_home_that_lives_but_does_not_answer_is_waited_for_until_the_deadline(text, told):
+def test_front_waits_until_the_deadline_for_a_home_that_is_alive_but_does_not_answer(
+    text, expected
+):
     async def scenario(system, executor):
         kind = CommandKind[text.split(" ")[0]]
         if kind is CommandKind.COMMIT or text.endswith("transaction"):
@@ -227,7 +229,7 @@
         began = system.world.now
         with pytest.raises(RequestError) as caught:
             await executor.execute(command(kind, text, "q2"))
-        assert caught.value.kind is told
+        assert caught.value.kind is expected
         assert 0.7 < system.world.now - began < 1.0
         if executor.session.failed:
             await executor.execute(command(CommandKind.ROLLBACK, "ROLLBACK"))
@@ -261,7 +263,7 @@
 
 
 @pytest.mark.parametrize("text", ["READ x", "WRITE x y"])
-def test_a_proxy_that_has_stopped_refuses_what_comes_late(text):
+def test_stopped_proxy_refuses_late_commands(text):
     async def work():
         system = PromotedSystem(8)
         node = system.nodes["proxy-a"]
--- a/tests/promoted/test_members.py
+++ b/tests/promoted/test_members.py
@@ -1,4 +1,4 @@
-"""Members of a system of promoted groups: how they come, go, and what watches cost."""
+"""Members of a system of promoted groups: joining, leaving, links between them, cost of watches."""
 
 import asyncio
 import contextlib
@@ -34,7 +34,7 @@
     run_virtual(work())
 
 
-def test_all_proxies_place_a_group_alike():
+def test_all_proxies_compute_the_same_placement():
     async def scenario(system):
         placed = {node.homes.placement(GROUP) for node in system.nodes.values()}
         assert len(placed) == 1
@@ -42,8 +42,8 @@
     with_system(scenario)
 
 
-def home_of_some_front(system):
-    """A proxy that would be the strongest of its zone, and the first home for another there."""
+def unreachable_home(system):
+    """Return a proxy that does not run, but would be the first home for a front of its zone."""
     members = list(system.nodes["proxy-a"].homes.members)
     for number in range(100):
         name = f"proxy-gone-{number}"
@@ -52,12 +52,12 @@
         fronts = [item for item in members if item.zone == "zone-a" and item not in placed.homes]
         if fronts and placed.preferred(fronts[0].name, "zone-a")[0] == ghost:
             return ghost
-    raise AssertionError("no name is placed as wanted")
+    raise AssertionError("no candidate name is placed as the first home of a front")
 
 
-def test_a_member_that_is_gone_for_long_is_taken_off_and_lists_itself_again():
+def test_unreachable_member_is_removed_and_a_running_one_registers_again():
     async def scenario(system):
-        ghost = home_of_some_front(system)
+        ghost = unreachable_home(system)
         system.world.store.members[ghost.name] = ghost
         system.world.store.revision += 1
         system.world.store.note("members")
@@ -83,7 +83,7 @@
     with_system(scenario)
 
 
-def test_a_proxy_that_becomes_no_home_closes_its_connections():
+def test_proxy_that_is_no_longer_a_home_closes_its_connections():
     async def scenario(system):
         node = next(n for n in system.nodes.values() if n.homes.is_home(GROUP))
         await node.groups[GROUP].ask_status("i-0")
@@ -99,7 +99,7 @@
 
 
 class _Source:
-    """A collection that changes all the time."""
+    """A collection that changes continuously."""
 
     def __init__(self):
         self.asked = 0
@@ -125,7 +125,7 @@
         self.taken += 1
 
 
-def test_changes_that_come_in_numbers_are_gathered():
+def test_frequent_changes_are_batched():
     async def work():
         source, follower = _Source(), _Follower()
         task = asyncio.create_task(CollectionWatch("x", source, follower, TIMES, 0.5).run())
@@ -142,7 +142,7 @@
 
 
 def test_a_home_that_gets_no_connections_lets_another_serve():
-    """Instances count the connections of proxies that were lost: those that return find no room."""
+    """A restarted proxy may get no connection, as instances still count its lost connections."""
 
     async def scenario(system):
         others = [node for node in system.nodes.values() if node.name != "proxy-a"]
@@ -184,7 +184,7 @@
 
 
 class _CutConnector:
-    """Opens nothing and says nothing, as behind a cut."""
+    """Never completes a connection attempt, as during a network partition."""
 
     def __init__(self):
         self.attempts = 0
@@ -197,8 +197,11 @@
 MEMBER = ProxyMember("proxy-b", "zone-b", "proxy-b", 1)
 
 
-def test_an_asker_without_patience_does_not_hide_that_a_link_is_cut():
-    """Found when views were asked for each half second: commands waited behind each attempt."""
+def test_queries_with_a_short_timeout_do_not_hide_a_lost_link():
+    """Queries with a short time limit must not restart the connection attempt each time.
+
+    Otherwise the link is never found lost, and commands wait behind each attempt.
+    """
 
     async def work():
         connector = _CutConnector()
@@ -215,7 +218,7 @@
 
 
 class _SlowConnector:
-    """Opens a connection on which bytes of one long message arrive for two seconds."""
+    """Opens a connection whose answer takes two seconds; with `dribbles` bytes arrive meanwhile."""
 
     def __init__(self, dribbles):
         self._dribbles = dribbles
@@ -238,7 +241,7 @@
 
 
 @pytest.mark.parametrize("dribbles", [True, False])
-def test_a_link_on_which_a_long_answer_is_arriving_is_not_silent(dribbles):
+def test_link_on_which_a_long_answer_is_arriving_is_not_silent(dribbles):
     async def work():
         link = PeerLink("proxy-a", MEMBER, _SlowConnector(dribbles))
         asking = asyncio.create_task(link.ask_view("configuration", 1, whole=True))
@@ -248,7 +251,7 @@
     run_virtual(work())
 
 
-def test_who_waits_for_a_link_that_is_closed_is_told():
+def test_requests_waiting_for_a_link_fail_when_it_is_closed():
     async def work():
         link = PeerLink("proxy-a", MEMBER, _CutConnector())
         waiting = asyncio.create_task(link.ask_lock())
@@ -264,8 +267,11 @@
     run_virtual(work())
 
 
-def test_commands_do_not_wait_for_attempts_to_reach_a_home_that_is_cut_off():
-    """Found on a day that parted the proxies: each pause ended with a request that waited 0.4 s."""
+def test_commands_do_not_wait_for_connection_attempts_to_an_unreachable_home():
+    """During a network partition a pause between attempts must not end with a waiting request.
+
+    Requests once waited 0.4 s, the time limit of a connection attempt, after every pause.
+    """
 
     async def scenario(system):
         node = next(n for n in system.nodes.values() if not n.homes.is_home(GROUP))
--- a/tests/promoted/test_peer_links.py
+++ b/tests/promoted/test_peer_links.py
@@ -1,4 +1,4 @@
-"""Open links between proxies that fall silent for good, without a reset, while new ones work."""
+"""Open links between proxies that stay silent without a reset, while new connections work."""
 
 import asyncio
 import contextlib
@@ -23,7 +23,7 @@
 
 
 class Connector:
-    """Opens connections that answer until they fall silent for good; new ones answer again."""
+    """Opens connections that answer until they are silenced; connections opened later answer."""
 
     def __init__(self):
         self.opened = []
@@ -61,20 +61,20 @@
         self.silent = True
 
 
-async def ask_without_patience(link):
+async def ask_with_short_timeout(link):
     with contextlib.suppress(PeerUnavailable, TimeoutError):
         async with asyncio.timeout(0.25):
             await link.ask_view(CONFIGURATION, 1, whole=False)
 
 
-def test_a_link_that_swallows_queries_is_found_though_each_is_withdrawn():
+def test_silent_link_is_detected_though_each_query_is_cancelled():
     async def work():
         connector = Connector()
         link = PeerLink("proxy-a", MEMBER, connector)
-        await ask_without_patience(link)
+        await ask_with_short_timeout(link)
         connector.silence()
         for _ in range(3):
-            await ask_without_patience(link)
+            await ask_with_short_timeout(link)
             await asyncio.sleep(0.05)
         assert not link.usable()
         await asyncio.sleep(0.5)
@@ -83,11 +83,11 @@
     run_virtual(work())
 
 
-def test_a_link_that_fell_silent_at_rest_is_found_before_a_request_needs_it():
+def test_idle_silent_link_is_detected_before_a_request_uses_it():
     async def work():
         connector = Connector()
         link = PeerLink("proxy-a", MEMBER, connector)
-        await ask_without_patience(link)
+        await ask_with_short_timeout(link)
         connector.silence()
         await asyncio.sleep(LINK_REST_PROBE_SECONDS + LINK_SILENT_SECONDS + 0.1)
         assert not link.usable()
@@ -98,11 +98,11 @@
     run_virtual(work())
 
 
-def test_a_link_that_nobody_uses_any_more_is_not_probed():
+def test_unused_link_is_not_probed():
     async def work():
         connector = Connector()
         link = PeerLink("proxy-a", MEMBER, connector)
-        await ask_without_patience(link)
+        await ask_with_short_timeout(link)
         await asyncio.sleep(10.0)
         probes = connector.probes
         await asyncio.sleep(60.0)
@@ -146,7 +146,7 @@
         await asyncio.sleep(0.05)
 
 
-def test_requests_are_served_on_though_all_links_fell_silent():
+def test_requests_succeed_after_all_links_became_silent():
     async def scenario(system):
         outcomes = []
         fronts = [node for node in system.nodes.values() if not node.homes.is_home(GROUP)]
@@ -160,14 +160,14 @@
         await asyncio.gather(*reading)
         soon = [ok for began, ok in outcomes if 0 <= began - silenced_at < 2.0]
         later = [ok for began, ok in outcomes if began - silenced_at >= 2.0]
-        # The request under way on each silent link is lost; the next ones are not.
+        # The request in progress on each silent link is lost; later requests are not.
         assert soon.count(True) >= 0.95 * len(soon)
         assert later.count(True) == len(later)
 
     with_system(scenario)
 
 
-def test_a_read_on_a_silent_link_is_served_by_another_home_within_its_deadline():
+def test_read_on_a_silent_link_is_served_by_another_home_within_its_deadline():
     async def scenario(system):
         front = front_of(system)
         executor = SessionExecutor(front, "latest")
@@ -182,16 +182,16 @@
     with_system(scenario)
 
 
-def test_a_transaction_on_a_silent_link_is_rolled_back_when_the_link_is_opened_anew():
+def test_transaction_on_a_silent_link_is_rolled_back_when_the_link_is_reopened():
     async def scenario(system):
         front = front_of(system)
         executor = SessionExecutor(front, "latest")
         await executor.execute(Command("-", CommandKind.BEGIN, "BEGIN"))
         await executor.execute(command(CommandKind.WRITE, "WRITE x y", 1))
         system.links.silence()
-        with pytest.raises(RequestError) as told:
+        with pytest.raises(RequestError) as caught:
             await executor.execute(command(CommandKind.WRITE, "WRITE x z", 2))
-        assert told.value.kind is ErrorKind.TRANSACTION_LOST
+        assert caught.value.kind is ErrorKind.TRANSACTION_LOST
         await asyncio.sleep(1.0)
         held = sum(node.groups[GROUP].connections.pools.busy for node in system.nodes.values())
         assert held == 0
@@ -199,7 +199,7 @@
     with_system(scenario)
 
 
-def test_a_configuration_is_in_force_in_time_though_all_links_fell_silent():
+def test_configuration_applies_in_time_after_all_links_became_silent():
     async def scenario(system):
         store = system.world.store
         system.links.silence()
--- a/tests/promoted/test_peer_streams.py
+++ b/tests/promoted/test_peer_streams.py
@@ -1,4 +1,4 @@
-"""Links between proxies: their messages as bytes, and on real sockets."""
+"""Links between proxies: encoding of their messages, and behaviour on real sockets."""
 
 import asyncio
 
@@ -185,7 +185,7 @@
     asyncio.run(work())
 
 
-def test_a_probe_is_answered_and_a_link_stays():
+def test_probe_is_answered_and_the_link_stays_open():
     async def scenario(listener, connection, got, lost):
         connection.send(Greeting("front"))
         for _ in range(3):
@@ -196,7 +196,7 @@
     with_listener(scenario)
 
 
-def test_a_link_that_is_cut_is_told():
+def test_end_of_a_link_is_reported():
     async def scenario(listener, connection, got, lost):
         connection.send(Probe())
         await got.get()
@@ -206,8 +206,8 @@
     with_listener(scenario)
 
 
-def test_what_the_other_side_gave_up_is_not_carried_out():
-    """After a freeze a home reads what is long out of date; its sender has gone by then."""
+def test_messages_on_a_link_closed_by_the_sender_are_not_handled():
+    """A home that was frozen must not run commands whose sender has closed the link meanwhile."""
 
     async def scenario(listener, connection, got, lost):
         connection.send(Probe())
--- a/tests/promoted/test_view_freshness.py
+++ b/tests/promoted/test_view_freshness.py
@@ -1,4 +1,4 @@
-"""Followed views on virtual time: each source silenced in turn, and both for a while."""
+"""Freshness of followed views on virtual time while the store, other proxies or both are silent."""
 
 import asyncio
 
@@ -27,7 +27,7 @@
 
 
 @pytest.mark.parametrize("seconds", [0.3, 1.0, 2.9, 7.0, 20.0])
-def test_a_store_that_swallowed_calls_is_read_in_time_when_it_is_back(seconds):
+def test_store_that_lost_calls_is_read_in_time_after_it_is_back(seconds):
     async def scenario(system):
         store = system.world.store
         store.silent_to.update(PROXIES)
@@ -42,7 +42,7 @@
 
 @pytest.mark.parametrize("kind", ["reader", "other"])
 @pytest.mark.parametrize("fault", ["silent", "cut"])
-def test_a_proxy_that_the_store_does_not_serve_is_told_by_others(kind, fault):
+def test_proxy_without_store_access_learns_changes_from_peers(kind, fault):
     async def scenario(system):
         chosen = sorted(readers(system) if kind == "reader" else set(PROXIES) - readers(system))[0]
         if fault == "silent":
@@ -58,7 +58,7 @@
     with_proxies(scenario)
 
 
-def test_without_any_reader_the_others_read_the_store_themselves():
+def test_without_reachable_readers_other_proxies_read_the_store():
     async def scenario(system):
         for name in readers(system):
             system.world.network.cut(name, STORE)
@@ -67,13 +67,13 @@
         await asyncio.sleep(1.0)
         version = apply_configuration(system)
         await asyncio.sleep(BOUND)
-        told = versions(system)
-        assert {told[name] for name in set(PROXIES) - readers(system)} == {version}
+        held_versions = versions(system)
+        assert {held_versions[name] for name in set(PROXIES) - readers(system)} == {version}
 
     with_proxies(scenario)
 
 
-def test_a_lone_proxy_relies_on_nobody():
+def test_single_proxy_reads_the_store_itself():
     async def scenario(system):
         store = system.world.store
         store.silent_to.update(system.nodes)
@@ -86,7 +86,7 @@
     with_proxies(scenario, proxies=("proxy-a",))
 
 
-def test_what_nobody_can_confirm_is_told_to_be_too_old(caplog):
+def test_view_that_no_source_confirms_is_logged_as_too_old(caplog):
     caplog.set_level("INFO", logger="orchidwind")
 
     async def scenario(system):
@@ -96,28 +96,29 @@
         await asyncio.sleep(BOUND)
 
     with_proxies(scenario)
-    told = [record.message for record in caplog.records if "view_" in record.message]
-    assert told.count("view_too_old") == told.count("view_current_again") == 2 * len(PROXIES)
+    logged = [record.message for record in caplog.records if "view_" in record.message]
+    assert logged.count("view_too_old") == logged.count("view_current_again") == 2 * len(PROXIES)
 
 
-def test_others_cost_the_store_a_watch_each_half_minute():
+def test_relying_proxies_watch_the_store_rarely():
     async def scenario(system):
         calls = dict(system.world.store.calls)
         await asyncio.sleep(30.0)
         spent = {name: system.world.store.calls[name] - calls[name] for name in PROXIES}
         for name in set(PROXIES) - readers(system):
-            # Lock and rosters each 8 s, members, configuration and directory each 30 s or closely.
+            # Lock and rosters: a watch per 8 s each. Members, configuration and directory: a watch
+            # per 30 s each, or per `watch_wait` where the proxy is the reader.
             assert spent[name] <= 2 * 4 + 3 + 30.0 / FollowTimes.within(4.0).watch_wait + 2
 
     with_proxies(scenario)
 
 
-# A machine is held to its bounds when its path to the store has been whole for so long.
+# A proxy must meet its bounds once its path to the store was undisturbed for this many seconds.
 CONTACT_SECONDS = 4.0
 
 
 class Trial:
-    """Some proxies under a schedule of troubles, and what each must hold by when."""
+    """Runs proxies under a schedule of faults; checks the version that each must hold in time."""
 
     def __init__(self):
         self.system = PromotedSystem(2, proxies=PROXIES)
@@ -184,9 +185,9 @@
     await Trial().run(schedule)
 
 
-TROUBLES = ["silence", "speak", "cut", "heal", "apply", "part", "restart"]
+FAULTS = ["silence", "speak", "cut", "heal", "apply", "part", "restart"]
 proxies = st.sampled_from(PROXIES)
-steps = st.tuples(st.floats(0.05, 4.0), st.sampled_from(TROUBLES), proxies, proxies)
+steps = st.tuples(st.floats(0.05, 4.0), st.sampled_from(FAULTS), proxies, proxies)
 
 
 @given(st.lists(steps, min_size=4, max_size=14))
@@ -194,8 +195,8 @@
     run_virtual(trial(schedule))
 
 
-def test_the_check_bites_where_a_watch_is_waited_for_as_before(monkeypatch):
-    """The times of the code before incident inc1: 8 s of waiting, 3 s more for the answer."""
+def test_trial_detects_views_that_follow_too_long_watch_times(monkeypatch):
+    """The trial fails with times under which a lost watch is given up only after 8 s plus 3 s."""
     before = replace(FollowTimes.unhurried(8.0), answer_slack=3.0, hedge_after=11.0)
     monkeypatch.setattr(FollowTimes, "within", lambda bound, watched_by_all=True: before)
     schedule = [(0.05, "silence", name, name) for name in PROXIES]
@@ -206,10 +207,10 @@
     run_virtual(trial(schedule))
 
 
-def play_failover_unaware_of_the_replica_that_confirms():
-    """i-3 joins unseen, as watches are swallowed; it alone receives before the primary dies."""
+def run_failover_with_unlisted_confirming_replica():
+    """i-3 joins while directory watches are silent; it alone gets commits before a failover."""
 
-    def join_unseen(system):
+    def join_unnoticed(system):
         system.world.store.directory_watches_silent = True
         system.group.announce(system.group.instances["i-3"])
         for other in ("i-1", "i-2"):
@@ -223,7 +224,7 @@
         system = PromotedSystem(3, instances=4)
         system.world.store.drop_entry("i-3")
         loop = asyncio.get_running_loop()
-        loop.call_later(2.0, join_unseen, system)
+        loop.call_later(2.0, join_unnoticed, system)
         loop.call_later(2.4, lose_primary, system)
         await system.run(6.0)
         return system
@@ -231,33 +232,33 @@
     return run_virtual(work())
 
 
-def test_a_change_of_primary_counts_a_replica_that_no_watch_has_shown_yet():
-    system = play_failover_unaware_of_the_replica_that_confirms()
+def test_failover_considers_a_replica_that_no_watch_has_reported_yet():
+    system = run_failover_with_unlisted_confirming_replica()
     assert system.world.history.broken == []
     assert [name for _, name, _ in system.world.history.promotions] == ["i-3"]
 
 
 def test_it_loses_commits_without_reading_the_directory_anew(monkeypatch):
-    async def confirmed(views):
+    async def claim_refreshed(views):
         return True
 
-    plan_anew = GroupSupervision._read_members
+    read_members = GroupSupervision._read_members
     plans = {}
 
     async def as_first_planned(supervision, reason):
         if supervision not in plans:
-            plans[supervision] = await plan_anew(supervision, reason)
+            plans[supervision] = await read_members(supervision, reason)
         return plans[supervision]
 
-    monkeypatch.setattr(ProxyViews, "refresh_before_failover", confirmed)
+    monkeypatch.setattr(ProxyViews, "refresh_before_failover", claim_refreshed)
     monkeypatch.setattr(GroupSupervision, "_read_members", as_first_planned)
-    system = play_failover_unaware_of_the_replica_that_confirms()
+    system = run_failover_with_unlisted_confirming_replica()
     assert any("LOST" in item for item in system.world.history.broken)
 
 
 @pytest.mark.parametrize("after_wait", [0.0, 0.002, 0.004, 0.006, 0.008, 0.01])
-def test_a_change_while_an_answer_is_on_its_way_is_told_by_the_next_watch(after_wait):
-    """Of the simulated store: an answer's revision must not be later than what it tells."""
+def test_change_during_transit_of_an_answer_is_returned_by_the_next_watch(after_wait):
+    """Checks the simulated store: an answer's revision must not exceed the changes it holds."""
 
     async def work():
         world = World(1)
@@ -266,11 +267,11 @@
         wanted = replace(store.configuration, version=2)
         loop = asyncio.get_running_loop()
         loop.call_later(wait + after_wait, lambda: store.put_configuration(wanted))
-        revision, told = store.at, []
+        revision, received = store.at, []
         for _ in range(3):
             changes = await source.watch(revision, wait, 2.0, lambda: None)
             revision = changes.revision
-            told += changes.changed
-        assert wanted in told
+            received += changes.changed
+        assert wanted in received
 
     run_virtual(work())
--- a/tests/promoted/test_view_parts.py
+++ b/tests/promoted/test_view_parts.py
@@ -17,7 +17,7 @@
 from orchidwind_bench.promoted.simulation.virtual_time import run_virtual
 
 
-def test_the_times_of_a_view_leave_a_part_of_its_bound():
+def test_worst_case_times_leave_a_margin_of_the_bound():
     times = FollowTimes.within(10.0)
     assert times.watch_wait + times.answer_slack < times.read_at_age
     assert times.read_at_age + times.hedge_after <= 8.0
@@ -35,7 +35,7 @@
     assert age.read_due_in(now) == pytest.approx(max(newest + 1.8 - now, 0.0))
 
 
-def test_readers_are_one_a_zone_and_the_same_for_all():
+def test_each_zone_has_one_reader_that_all_proxies_agree_on():
     members = [ProxyMember(f"p{n}", f"z{n % 3}", "h", 1) for n in range(30)]
     found = zone_readers("x", members)
     assert set(found) == {"z0", "z1", "z2"}
@@ -48,12 +48,12 @@
 
     def __init__(self, *kinds):
         self.kinds = list(kinds)
-        self.begun = []
+        self.started_at = []
 
     async def __call__(self):
         loop = asyncio.get_running_loop()
-        self.begun.append(loop.time())
-        kind = self.kinds[min(len(self.begun), len(self.kinds)) - 1]
+        self.started_at.append(loop.time())
+        kind = self.kinds[min(len(self.started_at), len(self.kinds)) - 1]
         if kind == "silent":
             await loop.create_future()
         if kind == "refuses":
@@ -72,7 +72,7 @@
         (("silent", "refuses", 0.1), 2.1),
     ],
 )
-def test_a_swallowed_call_costs_one_stagger_and_a_slow_one_is_waited_for(kinds, answered_at):
+def test_lost_call_costs_one_hedge_interval_and_slow_call_is_awaited(kinds, answered_at):
     async def work():
         assert await hedged(Calls(*kinds), 1.0, Arrival()) in kinds
         assert asyncio.get_running_loop().time() == pytest.approx(answered_at)
@@ -81,30 +81,30 @@
 
 
 @pytest.mark.parametrize(("kind", "seconds"), [("silent", MOST_CALLS), ("refuses", 0.01)])
-def test_calls_that_all_fail_end_in_an_error(kind, seconds):
+def test_error_is_raised_when_all_calls_fail(kind, seconds):
     async def work():
         calls = Calls(kind)
         with pytest.raises(PlatformError):
             await hedged(calls, 1.0, Arrival())
         assert asyncio.get_running_loop().time() == pytest.approx(seconds)
-        assert len(calls.begun) == (MOST_CALLS if kind == "silent" else 1)
+        assert len(calls.started_at) == (MOST_CALLS if kind == "silent" else 1)
 
     run_virtual(work())
 
 
-def test_a_call_whose_answer_is_arriving_is_not_repeated():
+def test_call_whose_answer_is_arriving_is_not_repeated():
     async def work():
-        arrival, begun = Arrival(), []
+        arrival, started_at = Arrival(), []
 
         async def call():
-            begun.append(1)
+            started_at.append(1)
             for _ in range(8):
                 await asyncio.sleep(0.5)
                 arrival.note()
             return "whole"
 
         assert await hedged(call, 1.0, arrival) == "whole"
-        assert len(begun) == 1
+        assert len(started_at) == 1
 
     run_virtual(work())
 
@@ -135,7 +135,7 @@
         self.held = changes.changed
 
 
-class Told:
+class StubPeer:
     """A peer that reports the view that the test sets."""
 
     def __init__(self):
@@ -153,16 +153,16 @@
     return ReportedView("peer", as_of, revision, Listing(items, revision))
 
 
-def test_an_answer_that_was_overtaken_changes_nothing():
+def test_outdated_answer_does_not_change_the_view():
     async def work():
-        source, follower, told = Source(), Follower(), Told()
-        watch = CollectionWatch("x", source, follower, FollowTimes.within(3.0), 0.0, told)
+        source, follower, peer = Source(), Follower(), StubPeer()
+        watch = CollectionWatch("x", source, follower, FollowTimes.within(3.0), 0.0, peer)
         task = asyncio.create_task(watch.run())
         await asyncio.sleep(0.1)
-        told.view = reported(0.0, ("newer",), 9)
+        peer.view = reported(0.0, ("newer",), 9)
         await asyncio.sleep(1.0)
         assert (follower.held, watch.revision) == (("newer",), 9)
-        told.view = reported(0.0, ("older",), 8)
+        peer.view = reported(0.0, ("older",), 8)
         source.answers.put_nowait(Changes(("old",), (), StoreRevision(7)))
         await asyncio.sleep(0.5)
         assert (follower.held, watch.revision) == (("newer",), 9)
@@ -171,19 +171,19 @@
     run_virtual(work())
 
 
-def test_a_first_view_that_is_too_old_is_not_taken_from_another():
+def test_first_view_that_is_too_old_is_not_taken_from_a_peer():
     class Silent(Source):
         async def list(self, limit, on_arrival):
             await asyncio.get_running_loop().create_future()
 
     async def work():
-        follower, told = Follower(), Told()
-        watch = CollectionWatch("x", Silent(), follower, FollowTimes.within(3.0), 0.0, told)
+        follower, peer = Follower(), StubPeer()
+        watch = CollectionWatch("x", Silent(), follower, FollowTimes.within(3.0), 0.0, peer)
         task = asyncio.create_task(watch.run())
-        told.view = reported(-10.0, ("old",), 9)
+        peer.view = reported(-10.0, ("old",), 9)
         await asyncio.sleep(2.0)
         assert follower.held == ()
-        told.view = reported(1.0, ("recent",), 9)
+        peer.view = reported(1.0, ("recent",), 9)
         await asyncio.sleep(1.0)
         assert follower.held == ("recent",)
         task.cancel()
@@ -191,8 +191,8 @@
     run_virtual(work())
 
 
-def test_a_fault_of_the_follower_does_not_end_the_following():
-    class Failing(Follower):
+def test_error_of_the_follower_does_not_end_the_watch():
+    class FailingFollower(Follower):
         def __init__(self):
             super().__init__()
             self.failures = 2
@@ -204,8 +204,8 @@
             return super().listed(listing)
 
     async def work():
-        follower = Failing()
-        watch = CollectionWatch("x", Source(), follower, FollowTimes.within(3.0), 0.0, Told())
+        follower = FailingFollower()
+        watch = CollectionWatch("x", Source(), follower, FollowTimes.within(3.0), 0.0, StubPeer())
         task = asyncio.create_task(watch.run())
         await asyncio.sleep(1.0)
         assert follower.held == ("a",)
@@ -214,10 +214,10 @@
     run_virtual(work())
 
 
-def test_a_change_that_the_follower_does_not_take_leaves_the_view_as_it_was():
+def test_change_that_the_follower_rejects_does_not_advance_the_revision():
     """A proxy whose follower failed must not report to others that it holds the change."""
 
-    class Failing(Follower):
+    class FailingFollower(Follower):
         def changed(self, changes):
             raise ValueError("fault")
 
@@ -231,7 +231,9 @@
     async def work():
         source = Unreadable()
         source.read = False
-        watch = CollectionWatch("x", source, Failing(), FollowTimes.within(3.0), 0.0, Told())
+        watch = CollectionWatch(
+            "x", source, FailingFollower(), FollowTimes.within(3.0), 0.0, StubPeer()
+        )
         task = asyncio.create_task(watch.run())
         await asyncio.sleep(0.1)
         source.answers.put_nowait(Changes(("b",), (), StoreRevision(6)))
@@ -242,7 +244,7 @@
     run_virtual(work())
 
 
-def test_a_reader_that_is_told_of_changes_does_not_read_the_store_besides():
+def test_reader_that_receives_changes_does_not_list_the_store_again():
     """An answer with changes confirms the view only as of the time when its watch was sent."""
     times = FollowTimes.within(10.0)
 
