--- a/src/orchidwind/promoted/peers/own_entry.py
+++ b/src/orchidwind/promoted/peers/own_entry.py
@@ -41,8 +41,8 @@
     async def write(self) -> bool:
         """Try to write this proxy's entry; return whether the entry was created.
 
-        A failed write is logged and retried by `keep`. A starting proxy writes its entry before it
-        reads the list, as other proxies may be starting at the same time.
+        A failed write is logged and retried by `keep`. A starting proxy writes its entry
+        before it reads the list, as other proxies may be starting at the same time.
         """
         self._write_due.clear()
         try:
