--- a/src/orchidwind/promoted/core/commit_acknowledgement.py
+++ b/src/orchidwind/promoted/core/commit_acknowledgement.py
@@ -1,27 +1,29 @@
 """When a proxy may acknowledge a commit that the primary has confirmed. No I/O, no clock.
 
-What for: an instance confirms a commit once a replica has received it. Whether a change of primary
-counts that replica is not known to the instance: it may have joined a moment ago, or have lost its
-fence in a restart. So a proxy acknowledges only what no change of primary can leave out:
-
-1. `verdict_by_lease`: the lead lease covers this moment and the lead is proven. Whoever changes a
-   primary waits for the end of all leases, and reads afterwards who may have confirmed.
-2. `verdict_by_successor`: a change of primary is over, and the new primary's log began with the
-   commit in it. Began it without, the commit is left out for good.
+An instance confirms a commit once a replica has received it. The instance does not know whether a
+change of primary counts that replica: it may have joined a moment ago, or have lost its fence in a
+restart. So a proxy acknowledges a commit only if no change of primary can lose it, which one of
+three rules shows:
+
+1. `verdict_by_lease`: the leadership lease covers this moment and the primary's leadership is
+   proven. A proxy that changes a primary waits until all leases have ended, and only then reads
+   which instances may have confirmed commits.
+2. `verdict_by_successor`: a change of primary is over, and the log with which the new primary began
+   has the commit. If that log lacks it, the commit is lost for good.
 3. `verdict_by_replicas`: as many listed replicas as must receive a commit, at least one, hold it
-   and are not about to leave, and all listed instances answer that they are neither fenced nor
-   know of a later term (under the lease: those that answer). Whoever fences them afterwards finds
+   and are not about to leave, and all listed instances (under the lease: those that answer) answer
+   that they are neither fenced nor know of a later term. A proxy that fences them afterwards finds
    the commit there.
 
-None of them acknowledges where the roster names a later promotion that may have taken effect out
-of this proxy's sight. While nothing is proven, the driver asks again after `PROOF_RETRY_SECONDS`;
-how long it may go on is the deadline of the caller's request.
+None of the rules acknowledges a commit if the roster records a later promotion that may have taken
+effect without this proxy seeing it. While nothing is proven, the driver asks again after
+`PROOF_RETRY_SECONDS`, until the deadline of the caller's request.
 
-With the whole rule removed scripted days of `test_change_of_primary.py` and
-`test_commits_under_faults.py` (tests/promoted) break promises, 4 to 250 times each (one play).
+Without these rules the fault schedules of `test_change_of_primary.py` and
+`test_commits_under_faults.py` (tests/promoted) break promises, 4 to 250 times each in one run.
 
-Owns: nothing. Relies on: `lead_proof` for the lease, `log_positions` for what a log holds,
-`failover` for the order of lock, fences and leases that makes each of the three safe.
+Owns: nothing. Relies on: `lead_proof` for the lease, `log_positions` for the comparison of logs,
+`failover` for the order of lock, fences and leases that makes each of the three rules safe.
 """
 
 from __future__ import annotations
@@ -37,14 +39,14 @@
 from orchidwind.promoted.core.roster import PromotionRecord
 from orchidwind.shared.core.positions import Position
 
-# Seconds between two rounds of status queries for one commit. A replica receives within
-# some milliseconds, and asked more often it would only be kept busy.
+# Seconds between two rounds of status queries for one commit. A replica receives a commit within
+# some milliseconds; more frequent queries would only keep it busy.
 PROOF_RETRY_SECONDS = 0.02
 
 
 @unique
 class CommitVerdict(Enum):
-    """What is known of a commit that the primary has confirmed."""
+    """What the proxy knows about a commit that the primary has confirmed."""
 
     ACKNOWLEDGE = "acknowledge"
     LEFT_OUT = "left out"
@@ -61,9 +63,9 @@
 class ReplicaEvidence(Struct, frozen=True):
     """What the listed instances answered to one round of status queries.
 
-    `statuses`: of those that answered. `must_answer`: see `must_answer`. `staying`: known instances
-    that have not announced their end. `synchronous_replicas`: how many must receive a commit before
-    the primary confirms it.
+    `statuses`: the answers received. `must_answer`: the instances that have to answer (see the
+    function of that name). `staying`: known instances that have not announced their end.
+    `synchronous_replicas`: how many replicas must receive a commit before the primary confirms it.
     """
 
     statuses: tuple[InstanceStatus, ...]
@@ -73,7 +75,7 @@
 
 
 def verdict_by_lease(commit: ConfirmedCommit, lease: LeaseEvidence) -> CommitVerdict:
-    """The verdict without any query: the lead lease alone."""
+    """Decide by the leadership lease alone, without any query."""
     proven = lease_proves_lead(commit.primary, lease)
     return CommitVerdict.ACKNOWLEDGE if proven else CommitVerdict.NOT_PROVEN
 
@@ -81,10 +83,10 @@
 def verdict_by_successor(
     commit: ConfirmedCommit, last_promotion: PromotionRecord | None, led_term: int
 ) -> CommitVerdict:
-    """The verdict by the log that the next primary began with.
+    """Decide by the log with which the next primary began.
 
-    `last_promotion` is what the group's roster names; `led_term` the term in which that instance is
-    known to lead, 0 where it is not: a promotion that is written down may not take effect.
+    `last_promotion` is the record in the group's roster. `led_term` is the term in which that
+    instance is known to lead, 0 if it is not: a recorded promotion may not take effect.
     """
     last, position = last_promotion, commit.position
     if last is None or last.term <= position.term or last.start.term > position.term:
@@ -97,9 +99,10 @@
 def must_answer(
     listed: Iterable[str], primary: str, last_promotion: PromotionRecord | None
 ) -> frozenset[str]:
-    """Listed instances whose fence may be the only sign of a change of primary.
+    """Return the listed instances whose fence may be the only sign of a change of primary.
 
-    The primary that was replaced last is none of them: the others were fenced against it.
+    The current primary is left out, and so is the primary that was replaced last: the other
+    instances were fenced against it.
     """
     replaced = last_promotion.replaced if last_promotion is not None else ""
     return frozenset(listed) - {primary, replaced}
@@ -112,10 +115,10 @@
     unreachable: frozenset[str],
     lease_covers: bool,
 ) -> frozenset[str]:
-    """Whom to ask for a status: the listed instances, without the primary and the hopeless ones.
+    """Return the listed instances to ask for their status.
 
-    One that is known not to answer is asked only where its answer is required (`must_answer`),
-    which it is not while the lead lease covers the moment.
+    The primary is left out, and so are unreachable instances, unless their answer is required
+    (`must_answer`). No answer is required while the leadership lease covers the moment.
     """
     passed_over = unreachable if lease_covers else unreachable - required
     return frozenset(listed) - {primary} - passed_over
@@ -124,26 +127,28 @@
 def verdict_by_replicas(
     commit: ConfirmedCommit, lease: LeaseEvidence, replicas: ReplicaEvidence
 ) -> CommitVerdict:
-    """The verdict by a round of status queries that began after the commit was confirmed."""
+    """Decide by a round of status queries that began after the commit was confirmed."""
     if any(status.newest_term > commit.position.term for status in replicas.statuses):
         return CommitVerdict.NOT_PROVEN
-    if not lease.covers and _some_fence_unseen(commit, replicas):
+    if not lease.covers and _required_answer_missing(commit, replicas):
         return CommitVerdict.NOT_PROVEN
     if lease.successor_may_lead:
         return CommitVerdict.NOT_PROVEN
-    holding = [status for status in replicas.statuses if _keeps(status, commit, replicas)]
+    holding = [status for status in replicas.statuses if _holds_and_stays(status, commit, replicas)]
     enough = len(holding) >= max(replicas.synchronous_replicas, 1)
     return CommitVerdict.ACKNOWLEDGE if enough else CommitVerdict.NOT_PROVEN
 
 
-def _some_fence_unseen(commit: ConfirmedCommit, replicas: ReplicaEvidence) -> bool:
+def _required_answer_missing(commit: ConfirmedCommit, replicas: ReplicaEvidence) -> bool:
     """Whether an instance that a change of primary may have fenced has not answered."""
     answered = {status.instance for status in replicas.statuses}
     return bool(replicas.must_answer - answered - {commit.primary})
 
 
-def _keeps(status: InstanceStatus, commit: ConfirmedCommit, replicas: ReplicaEvidence) -> bool:
-    """Whether a replica holds the commit and is not about to leave with it."""
+def _holds_and_stays(
+    status: InstanceStatus, commit: ConfirmedCommit, replicas: ReplicaEvidence
+) -> bool:
+    """Whether a replica holds the commit and is not about to leave."""
     return (
         status.role is InstanceRole.REPLICA
         and status.instance != commit.primary
--- a/src/orchidwind/promoted/core/failover.py
+++ b/src/orchidwind/promoted/core/failover.py
@@ -1,42 +1,46 @@
-"""The change of a promoted group's primary, as a generator without I/O.
-
-It promotes an instance whose log has every commit that any proxy has acknowledged to a caller.
-Why the order of steps is safe, with `s` replicas that must receive a commit before the primary
-confirms it:
-
-1. Only the holder of the promotion lock goes on, under a token that rises with each holder. Nobody,
-   not even a process started anew under the holder's name, takes the lock over for the time in
-   which a promotion that was called under it takes effect; one that is late then is met by 6.
-2. A primary that answers, and of which no successor can lead out of sight, is demoted: it takes no
-   more commits. Any log that has as much as its own has every acknowledged commit; who had
-   confirmed does not matter. If there is none, it can lead again itself.
-3. The other members are fenced with a term above every known one: they receive nothing more from
-   an old primary that does not answer.
-4. Lead leases are waited out, or confirmed to be dropped (`lead_lease`). From then on no proxy
-   acknowledges a commit unless enough listed replicas hold it and all listed ones answer that
-   they are not fenced. So what an instance confirms that is not counted here (it joined, lost its
-   fence in a restart, was freed by a late call) is acknowledged by nobody who sees one
-   of the fences.
-5. Without a demoted primary's log the fenced ones are counted. An acknowledged commit is on its
-   primary and `s` others, so of all members but `s` at least one has it, and the longest log
-   leads. That holds only if all who confirmed are members: they are read anew now, when nothing
-   more is acknowledged, and after the time in which one that has begun to confirm is listed. A
-   log counts only from where the newest term began: commits of the terms before are in that
-   term's primary, and in those that have caught up with it.
-6. The promotion is written down in the store, with the end of the chosen log; until the chosen
-   instance has answered otherwise or is gone, no other counts as primary. A restart drops a fence,
-   so all fences are asked for again, right before the call.
-7. The promotion is sent while the lock is surely held, and settled by asking the instance.
-8. Then the old primary is demoted by whoever reaches it. The other replicas are freed when it is
-   known to be no primary, or when they follow the new one.
-
-This module has the order of the steps. The rules that it asks: whether a primary must be replaced
-(`failover_primary`), who may have confirmed commits (`failover_members`), who may lead next
-(`failover_choice`), what becomes of fences and of the old
-primary (`failover_fences`). What makes a proxy begin is in `change_reasons`.
+"""Replaces the primary of a promoted group; a generator without I/O.
+
+The instance that is promoted has every commit in its log that any proxy has acknowledged to a
+caller. The steps are safe in the order below. `s` is the number of replicas that must receive a
+commit before the primary confirms it.
+
+1. Only the holder of the promotion lock continues, under a fencing token that rises with each
+   holder. Once a promotion was called under the lock, no process, not even one that was restarted
+   under the holder's name, takes the lock over within the time that the promotion needs to take
+   effect. A promotion that takes effect even later is handled by step 6.
+2. A primary that answers is demoted, so that it accepts no more commits, unless a successor that
+   this proxy does not reach may lead. Any log that reaches as far as the demoted one has every
+   acknowledged commit, whichever replicas had confirmed them. If no other log reaches as far, the
+   demoted primary itself can lead again.
+3. The other members are fenced with a term above every known one: they receive nothing more from an
+   old primary that does not answer.
+4. The proxy waits until all leadership leases have expired or were confirmed to be dropped
+   (`lead_lease`). From then on a proxy acknowledges a commit only if enough listed replicas hold it
+   and all listed instances answer that they are not fenced. So a commit that is confirmed by an
+   instance that is not counted here (it joined, lost its fence in a restart, or was unfenced by a
+   late call) is acknowledged by no proxy that sees one of the fences.
+5. Without a demoted primary's log the fenced members are counted. An acknowledged commit is on its
+   primary and `s` other instances, so among all members but `s` at least one has it, and the
+   instance with the longest log becomes primary. This holds only if every instance that has
+   confirmed a commit is a member. So the members are read again at this point: no more commits are
+   acknowledged, and an instance that has begun to confirm has had the time to be listed. A log
+   counts only if it reaches the position at which the newest term began: commits of earlier terms
+   are in the log of that term's primary, and in those that have caught up with it.
+6. The promotion is recorded in the store with the end of the chosen log. Until the chosen instance
+   has answered that it does not lead, or is gone, no other instance counts as primary. A restart
+   drops a fence, so all instances are asked for their fences again right before the call.
+7. The promotion is sent while the lock is certainly held. Whether it took effect is found out by
+   asking the instance.
+8. Afterwards any proxy that reaches the old primary demotes it. The other replicas are unfenced
+   when the old primary is known to lead no longer, or when they follow the new one.
+
+This module has the order of the steps. The rules are in `failover_primary` (whether a primary must
+be replaced), `failover_members` (which instances may have confirmed commits), `failover_choice`
+(which instance may lead next) and `failover_fences` (when fences are lifted and old primaries
+demoted). `change_reasons` decides when a proxy starts a change.
 
 Owns: the state of one attempt to change a primary. Relies on: a driver that carries out each step,
-and throws LockLost in where the promotion lock's time has passed.
+and throws LockLost into the generator when the holding time of the promotion lock is over.
 """
 
 from __future__ import annotations
@@ -55,29 +59,29 @@
 )
 from orchidwind.promoted.core.failover_fences import (
     POLL_SECONDS,
-    ask,
+    await_log_catch_up,
     demote_leader,
     fence_others,
     fence_term_above,
-    free_left_fences,
-    let_log_arrive,
-    others,
+    lift_leftover_fences,
+    other_members,
+    query_statuses,
     settle_promotion,
 )
 from orchidwind.promoted.core.failover_members import (
     LISTING_SECONDS,
-    count_answering,
+    include_answering,
     read_members,
 )
 from orchidwind.promoted.core.failover_primary import (
-    change_is_due,
-    fenced_ones,
+    any_primary_answers,
+    change_is_needed,
+    fenced_names,
+    find_new_primary,
+    has_caught_up_successor,
     leader_of,
-    led_already,
     may_succeed,
-    primary_answers,
     primary_stays,
-    some_keep_up,
     some_replica_follows,
 )
 from orchidwind.promoted.core.failover_report import report_choice
@@ -104,28 +108,29 @@
     UnfenceAll,
     Wait,
 )
-from orchidwind.promoted.core.instance_silence import HURRIED_STATUS_SECONDS
+from orchidwind.promoted.core.instance_silence import URGENT_STATUS_SECONDS
 from orchidwind.promoted.core.lead_lease import REVOCATION_WAIT_SECONDS
 from orchidwind.promoted.core.promotion_lock import CALL_MARGIN_SECONDS, HOLD_SECONDS
 
-# Seconds between two attempts to find a candidate. Some round trips long.
+# Seconds between two attempts to find a candidate; several round trips.
 RETRY_SECONDS = 0.05
-# Polls of a promoted instance until it leads: 1.2 s and the calls. A promotion takes effect
-# some hundred milliseconds after its call, or the lock is lost first.
+# Polls of a promoted instance until it leads: 1.2 s and the time of the calls. A promotion takes
+# effect some hundred milliseconds after its call; otherwise the lock's holding time ends first.
 _LEAD_POLLS = 60
-# Seconds that one attempt takes where an instance is dark: the pause, and the limit of a call.
-_DARK_ATTEMPT_SECONDS = RETRY_SECONDS + HURRIED_STATUS_SECONDS
-# As many as fit, after the wait for leases, into the time for which the lock is held.
+# Seconds that one attempt takes while an instance is unreachable: the pause and the limit of a
+# call.
+_UNREACHABLE_ATTEMPT_SECONDS = RETRY_SECONDS + URGENT_STATUS_SECONDS
+# The most attempts that fit, after the wait for leases, into the holding time of the lock.
 _SELECT_ATTEMPTS = 12
-# Members are read anew each so many attempts, 0.2 s, while no candidate is found: one may have
-# joined meanwhile. Each reading costs a call of the store.
+# The members are read again after this many attempts without a candidate (0.2 s), as an instance
+# may have joined meanwhile. Each reading costs a call of the store.
 _READ_AGAIN_ATTEMPTS = 4
 
-# The longest search: the wait for leases, the attempts, and the time for late entries before each
-# reading of the members.
+# The longest search: the wait for leases, the attempts, and the time for late directory entries
+# before each reading of the members.
 _LONGEST_SEARCH_SECONDS = (
     REVOCATION_WAIT_SECONDS
-    + _SELECT_ATTEMPTS * _DARK_ATTEMPT_SECONDS
+    + _SELECT_ATTEMPTS * _UNREACHABLE_ATTEMPT_SECONDS
     + _SELECT_ATTEMPTS // _READ_AGAIN_ATTEMPTS * LISTING_SECONDS
 )
 
@@ -133,10 +138,10 @@
 
 
 def change_primary(plan: FailoverPlan) -> FailoverFlow:
-    """Replace the primary of a group, if that is still needed."""
-    statuses = yield from ask((*plan.members, *plan.absent))
-    plan = count_answering(plan, statuses)
-    if not change_is_due(plan, statuses):
+    """Replace the primary of a group, if that is still needed; returns the outcome."""
+    statuses = yield from query_statuses((*plan.members, *plan.absent))
+    plan = include_answering(plan, statuses)
+    if not change_is_needed(plan, statuses):
         return FailoverResult(FailoverOutcome.NOT_NEEDED)
     if not may_succeed(plan, statuses):
         return FailoverResult(FailoverOutcome.NOT_SAFE)
@@ -146,18 +151,18 @@
     try:
         result = yield from _change_under_lock(plan, leader_of(plan, statuses))
     except LockLost:
-        # Another proxy may be at work by now: fences are left to it. To give the lock back is
-        # safe, as that only succeeds while nobody has taken it over.
+        # Another proxy may have taken the lock by now, so the fences are left to it. Releasing is
+        # safe, as the release fails if the lock was taken over.
         result = FailoverResult(FailoverOutcome.LOCK_LOST)
     yield ReleaseLock()
     return result
 
 
 def _change_under_lock(plan: FailoverPlan, led_before: InstanceStatus | None) -> FailoverFlow:
-    statuses = yield from ask(plan.members)
+    statuses = yield from query_statuses(plan.members)
     if primary_stays(plan, statuses):
-        return (yield from free_left_fences(plan, statuses))
-    if not some_keep_up(plan, led_before, statuses):
+        return (yield from lift_leftover_fences(plan, statuses))
+    if not has_caught_up_successor(plan, led_before, statuses):
         return FailoverResult(FailoverOutcome.NOT_SAFE)
     if plan.reason is FailoverReason.LEFT_FENCED:
         return FailoverResult(FailoverOutcome.NOT_NEEDED)
@@ -169,27 +174,29 @@
             return refused
     demoted = yield from demote_leader(plan, statuses, fence_term)
     if demoted is not None and plan.reason is not FailoverReason.NOT_CONFIRMING:
-        yield from let_log_arrive(plan, demoted)
+        yield from await_log_catch_up(plan, demoted)
     return (yield from _choose_and_promote(plan, demoted, fence_term))
 
 
 def _check_not_confirming(
     plan: FailoverPlan, statuses: Statuses, fence_term: int
 ) -> Generator[FailoverStep, FailoverStepResult, FailoverResult | None]:
-    """Why a primary that answers but confirms no commit is kept, None where it may be replaced.
+    """Check whether a primary that answers but confirms no commit may be replaced.
 
-    It is kept where a replica does keep up with it, and where the others cannot show that one of
+    Returns the result that ends the change if the primary is kept, None if it may be replaced. It
+    is kept if a replica does keep up with it, and also if the other members cannot show that one of
     them has every acknowledged commit: it must not be demoted without a successor.
     """
     leader = leader_of(plan, statuses)
     if leader is None:
         return None
     yield Wait(RETRY_SECONDS)
-    later = yield from ask(plan.members)
+    later = yield from query_statuses(plan.members)
     if some_replica_follows(leader, later):
-        return (yield from free_left_fences(plan, later))
+        return (yield from lift_leftover_fences(plan, later))
     fenced = yield from fence_others(plan, leader, fence_term)
-    # Whether absent ones are needed is known once all proxies have reported what they acknowledged.
+    # Absent instances are left out here: whether they are needed is known only after all proxies
+    # have reported which commits they acknowledged.
     if choose_candidate(replace(plan, absent=()), fenced, None, fence_term) is None:
         yield UnfenceAll(tuple(fenced))
         return FailoverResult(FailoverOutcome.NOT_SAFE)
@@ -197,21 +204,21 @@
 
 
 class _Selection(Struct):
-    """The search for the next primary, from one attempt to the next.
+    """The search for the next primary, kept from one attempt to the next.
 
-    `reported`: the last line of the log on what the choice rests. `sent`: a promotion may have been
-    called, so fences below the new term stay.
+    `reported`: the report of the choice that was logged last. `promotion_sent`: a promotion may
+    have been called, so fences below the new term must stay.
     """
 
     plan: FailoverPlan
     demoted: InstanceStatus | None
     fence_term: int
     reported: ChoiceReport | None = None
-    sent: bool = False
+    promotion_sent: bool = False
 
     @property
-    def counts(self) -> bool:
-        """Whether the members are needed from the first attempt on."""
+    def needs_members(self) -> bool:
+        """Whether the members must be known from the first attempt on."""
         not_confirming = self.plan.reason is FailoverReason.NOT_CONFIRMING
         return self.demoted is None or not_confirming
 
@@ -219,13 +226,15 @@
 def _choose_and_promote(
     plan: FailoverPlan, demoted: InstanceStatus | None, fence_term: int
 ) -> FailoverFlow:
-    """Choose the next primary and have it promoted."""
-    # Fenced before the members are read: else a proxy could find a commit held by a replica that
-    # is listed after that reading, and no fence that warns it.
-    yield FenceAll(others(plan, demoted, plan.old_primary), fence_term)
+    """Choose the next primary and promote it, in up to `_SELECT_ATTEMPTS` attempts."""
+    # The members are fenced before they are read again. Otherwise a proxy could find a commit on a
+    # replica that is listed only after that reading, and see no fence that forbids the
+    # acknowledgement.
+    yield FenceAll(other_members(plan, demoted, plan.old_primary), fence_term)
     acknowledged = yield AwaitRevocation()
     assert acknowledged is None or isinstance(acknowledged, AcknowledgedCommits)
-    # These members were read before anybody had stopped to acknowledge: they count nobody.
+    # The known members were read while proxies could still acknowledge commits, so they do not
+    # prove that a count is complete.
     plan = replace(plan, members_known=False, acknowledged=acknowledged)
     selection = _Selection(plan, demoted, fence_term)
     for attempt in range(_SELECT_ATTEMPTS):
@@ -234,25 +243,25 @@
         result = yield from _attempt(selection, attempt)
         if result is not None:
             return result
-    if not selection.sent:
-        statuses = yield from ask(selection.plan.members)
-        yield UnfenceAll(fenced_ones(statuses))
+    if not selection.promotion_sent:
+        statuses = yield from query_statuses(selection.plan.members)
+        yield UnfenceAll(fenced_names(statuses))
     return FailoverResult(FailoverOutcome.NOT_SAFE)
 
 
 def _attempt(
     selection: _Selection, attempt: int
 ) -> Generator[FailoverStep, FailoverStepResult, FailoverResult | None]:
-    """Look once for a candidate and promote it; None where another attempt is due."""
+    """Look once for a candidate and promote it; returns None if another attempt is needed."""
     read_again = not selection.plan.members_known or attempt % _READ_AGAIN_ATTEMPTS == 0
-    if read_again and (attempt or selection.counts):
+    if read_again and (attempt or selection.needs_members):
         selection.plan = yield from read_members(selection.plan)
     fenced = yield from fence_others(selection.plan, selection.demoted, selection.fence_term)
-    led = led_already(fenced, selection.fence_term)
+    led = find_new_primary(fenced, selection.fence_term)
     if led is not None:
         return (yield from settle_promotion(selection.plan, led))
-    if selection.demoted is None and primary_answers(fenced):
-        result = yield from _old_primary_is_back(selection)
+    if selection.demoted is None and any_primary_answers(fenced):
+        result = yield from _handle_returned_primary(selection)
         if result is not None or selection.demoted is not None:
             return result
     candidate = yield from _choose(selection, fenced, attempt)
@@ -264,18 +273,21 @@
         return None
     if not (yield from _still_best(selection, candidate, fenced)):
         return None
-    selection.sent = True
+    selection.promotion_sent = True
     led = yield from _promote(candidate)
     return None if led is None else (yield from settle_promotion(selection.plan, led))
 
 
-def _old_primary_is_back(
+def _handle_returned_primary(
     selection: _Selection,
 ) -> Generator[FailoverStep, FailoverStepResult, FailoverResult | None]:
-    """An old primary answers: let it lead after all, else demote it."""
-    statuses = yield from ask(selection.plan.members)
+    """Handle an old primary that answers again: it leads on if it need not be replaced.
+
+    Otherwise it is demoted, and None is returned.
+    """
+    statuses = yield from query_statuses(selection.plan.members)
     if primary_stays(selection.plan, statuses):
-        return (yield from free_left_fences(selection.plan, statuses))
+        return (yield from lift_leftover_fences(selection.plan, statuses))
     selection.demoted = yield from demote_leader(selection.plan, statuses, selection.fence_term)
     return None
 
@@ -283,7 +295,10 @@
 def _choose(
     selection: _Selection, fenced: Statuses, attempt: int
 ) -> Generator[FailoverStep, FailoverStepResult, InstanceStatus | None]:
-    """The next primary, None where no log is known to be whole; reports on what that rests."""
+    """Return the next primary, None if no log is known to be complete.
+
+    Reports the grounds for the choice if they differ from those reported last.
+    """
     plan, demoted, fence_term = selection.plan, selection.demoted, selection.fence_term
     candidate = choose_for_attempt(plan, fenced, demoted, fence_term, attempt)
     report = report_choice(plan, fenced, demoted, fence_term, candidate)
@@ -296,8 +311,11 @@
 def _still_best(
     selection: _Selection, candidate: InstanceStatus, fenced: Statuses
 ) -> Generator[FailoverStep, FailoverStepResult, bool]:
-    """Ask for all fences once more: a restart drops them, and an instance may have gone."""
-    again = yield from ask(tuple(sorted({*fenced, candidate.instance})))
+    """Ask for all fences again and check that the candidate may still lead.
+
+    A restart drops a fence, and an instance may have gone since the last answers.
+    """
+    again = yield from query_statuses(tuple(sorted({*fenced, candidate.instance})))
     plan, demoted = selection.plan, selection.demoted
     return is_still_best(plan, candidate, demoted, selection.fence_term, again)
 
@@ -305,13 +323,13 @@
 def _promote(
     candidate: InstanceStatus,
 ) -> Generator[FailoverStep, FailoverStepResult, InstanceStatus | None]:
-    """Promote, and wait until the instance leads; its status then, None where it does not."""
+    """Promote an instance and wait until it leads; returns its status, None if it does not lead."""
     answer = yield Promote(candidate.instance)
     if answer is PromotionAnswer.REFUSED:
         return None
     for _ in range(_LEAD_POLLS):
         yield Wait(POLL_SECONDS)
-        statuses = yield from ask((candidate.instance,))
+        statuses = yield from query_statuses((candidate.instance,))
         status = statuses.get(candidate.instance)
         if status is not None and status.role is InstanceRole.PRIMARY:
             return status
--- a/src/orchidwind/promoted/core/failover_choice.py
+++ b/src/orchidwind/promoted/core/failover_choice.py
@@ -1,22 +1,23 @@
-"""Who may lead next: an instance whose log surely has every acknowledged commit. No I/O, no clock.
-
-The rule, for one attempt (`choose_for_attempt`), where an acknowledged commit is in the log of its
-primary and of `synchronous_replicas` others:
-
-1. The old primary was demoted: its log is the measure. A fenced replica that has as much leads;
-   who had confirmed does not matter.
-2. Else the fenced members are counted (`needed_fences`): of so many at least one has any
-   acknowledged commit, and the longest log of them leads, if it has the log with which the newest
-   term began (`has_earlier_terms`), and no absent instance may hold more (`needs_absent`).
-3. In the first attempts a log that is shorter than what proxies acknowledged is not taken: an
+"""Chooses the next primary: an instance whose log certainly has every acknowledged commit.
+
+The rule, for one attempt (`choose_for_attempt`), given that an acknowledged commit is in the log of
+its primary and of `synchronous_replicas` other instances:
+
+1. If the old primary was demoted, its log is the reference. A fenced replica whose log reaches as
+   far may lead, whichever replicas had confirmed the commits.
+2. Otherwise the fenced members are counted. If there are at least `needed_fences`, one of them has
+   any given acknowledged commit, and the one with the longest log may lead, provided that this log
+   has everything from before the newest term (`has_earlier_terms`) and that no absent instance may
+   hold more (`needs_absent`).
+3. In the first attempts a log that is shorter than what proxies acknowledged is not accepted: an
    instance that holds the rest may be listed late.
-4. If no other log is known to be whole after some attempts, the demoted primary's own is: it leads
-   again.
+4. If after some attempts no other log is known to be complete, the demoted primary, whose log is,
+   leads again.
 
-Of several equal logs, that of an instance which stays is taken.
+Among equal logs, an instance that is not about to leave is preferred.
 
-Owns: nothing. Relies on: the order of steps in `failover`, under which what is counted here cannot
-change between the answers and the promotion.
+Owns: nothing. Relies on: the order of steps in `failover`, which ensures that what is counted here
+cannot change between the answers and the promotion. No I/O, no clock.
 """
 
 from __future__ import annotations
@@ -25,14 +26,15 @@
 from orchidwind.promoted.core.failover_steps import FailoverPlan, Statuses
 from orchidwind.promoted.core.log_positions import holds
 
-# Attempts before a demoted primary's own log is taken. Three attempts are 0.15 s and
-# what the calls take; a replica of its log is better, as the primary was demoted for a reason.
+# Attempts before the demoted primary itself may lead again. Three attempts take 0.15 s and the time
+# of the calls. A replica with the same log is preferred, as the primary was demoted for a reason.
 ATTEMPTS_FOR_ANOTHER = 3
-# Attempts before a log that is shorter than what proxies may have acknowledged is taken: from 0.5 s
-# to 1.2 s, as long as the lock's time allows with three attempts left. An instance that holds the
-# rest may be listed late: with 2 attempts commits were lost in 9 of 30 plays where it was listed
-# 0.3 s late and in 15 of 15 at 0.6 s, with 9 in none of 30. From a crash to the next acknowledged
-# write the median of 20 plays stays at 0.59 s (virtual time): most candidates have all.
+# Attempts before a log that is shorter than what proxies may have acknowledged is accepted: 0.5 to
+# 1.2 s, the most that the lock's holding time allows with three attempts left. An instance that
+# holds the rest may be listed late. With 2 attempts commits were lost in 9 of 30 simulated runs in
+# which it was listed 0.3 s late and in 15 of 15 at 0.6 s; with 9 attempts in none of 30. The median
+# time from a crash to the next acknowledged write, over 20 runs, stays at 0.59 s (virtual time), as
+# most candidates have everything.
 ATTEMPTS_FOR_ACKNOWLEDGED = 9
 
 
@@ -43,7 +45,10 @@
     fence_term: int,
     attempt: int,
 ) -> InstanceStatus | None:
-    """The next primary by the answers of one attempt (0 is the first), None where none is known."""
+    """Return the next primary for the answers of one attempt, None if none is known.
+
+    `attempt` is 0 for the first one.
+    """
     candidate = choose_candidate(plan, fenced, demoted, fence_term)
     if candidate is not None and demoted is None and attempt < ATTEMPTS_FOR_ACKNOWLEDGED:
         candidate = candidate if _has_all_acknowledged(plan, candidate) else None
@@ -59,9 +64,9 @@
     fence_term: int,
     again: Statuses,
 ) -> bool:
-    """Whether a candidate may still lead by answers that came right before its promotion.
+    """Whether a candidate may still lead, by answers that came right before its promotion.
 
-    Guards against a restart meanwhile, which drops a fence, and against an instance that has gone.
+    Guards against a restart in the meantime, which drops a fence, and an instance that has gone.
     """
     now = again.get(candidate.instance)
     if now is None or now.role is InstanceRole.PRIMARY:
@@ -75,31 +80,31 @@
 def choose_candidate(
     plan: FailoverPlan, fenced: Statuses, demoted: InstanceStatus | None, fence_term: int
 ) -> InstanceStatus | None:
-    """The instance whose log surely has every acknowledged commit, None where none is known.
+    """Return an instance whose log certainly has every acknowledged commit, None if none is known.
 
-    Of several, one that stays is taken.
+    Among several, an instance that is not about to leave is preferred.
     """
     replicas = fenced_replicas(fenced, fence_term)
     if demoted is not None:
-        whole = [item for item in replicas if holds(item.received, demoted.received)]
-        if whole:
-            return _best(plan, whole)
+        complete = [item for item in replicas if holds(item.received, demoted.received)]
+        if complete:
+            return _prefer_staying(plan, complete)
     counted = counted_replicas(plan, fenced, demoted, fence_term)
     if len(counted) < needed_fences(plan) or not plan.members_known:
         return None
     longest = max(item.received for item in counted)
-    able = [
+    eligible = [
         item
         for item in counted
         if item.received == longest
         and has_earlier_terms(plan, item, fenced)
         and not needs_absent(plan, item, len(counted))
     ]
-    return _best(plan, able)
+    return _prefer_staying(plan, eligible)
 
 
 def fenced_replicas(fenced: Statuses, fence_term: int) -> list[InstanceStatus]:
-    """Those that receive nothing of any primary below a term."""
+    """Return the replicas that accept no log from any primary below `fence_term`."""
     return [
         item
         for item in fenced.values()
@@ -110,7 +115,10 @@
 def counted_replicas(
     plan: FailoverPlan, fenced: Statuses, demoted: InstanceStatus | None, fence_term: int
 ) -> list[InstanceStatus]:
-    """The fenced members; a demoted primary's own log, unconfirmed commits and all, is none."""
+    """Return the fenced members whose logs count.
+
+    A demoted primary is left out, as its log may end with commits that no replica has confirmed.
+    """
     left_out = demoted.instance if demoted is not None else ""
     return [
         item
@@ -120,11 +128,11 @@
 
 
 def needed_fences(plan: FailoverPlan) -> int:
-    """How many fenced members surely share one with the holders of any acknowledged commit.
+    """Return how many fenced members are enough to include a holder of any acknowledged commit.
 
-    A commit is on its primary and on `synchronous_replicas` others. Where that primary may be
-    none of the members, it is only known to be on the others. Absent ones are left out: see
-    `needs_absent`.
+    A commit is on its primary and on `synchronous_replicas` other instances. If that primary may
+    not be a member, only the other instances are certain to be. Absent instances are not considered
+    here: see `needs_absent`.
     """
     synchronous = max(plan.synchronous_replicas, 1)
     leaders = {plan.old_primary}
@@ -137,9 +145,9 @@
 def needs_absent(plan: FailoverPlan, item: InstanceStatus, counted: int) -> bool:
     """Whether an absent instance may hold an acknowledged commit that this log lacks.
 
-    It may have gone on confirming when neither the directory nor this proxy heard of it. It is not
-    needed if every proxy, each of which has run since before the newest term began, reports how far
-    it acknowledged, and this log reaches that far.
+    An absent instance may have gone on confirming while neither the directory nor this proxy heard
+    of it. Its log is not needed if all proxies have run since before the newest term began and have
+    reported how far they acknowledged, and this log reaches that far.
     """
     if counted >= needed_fences(plan) + len(plan.absent):
         return False
@@ -152,9 +160,10 @@
 def has_earlier_terms(plan: FailoverPlan, item: InstanceStatus, statuses: Statuses) -> bool:
     """Whether a log has every commit that was acknowledged before the newest term began.
 
-    The count of fences speaks of the newest term only. What came before is in the log that it began
-    with. Where nobody knows that log, the newest term is the first one, or the instance
-    has to follow it. Guards against a replica that received nothing for a term, or is catching up.
+    The count of fences covers only the newest term. Earlier commits are in the log with which that
+    term began. If no promotion is recorded, the newest term is the first one, or the instance must
+    have followed it. Guards against a replica that received nothing for a whole term, or is still
+    catching up.
     """
     last = plan.last_promotion
     if last is None:
@@ -163,16 +172,16 @@
 
 
 def newest_led_term(plan: FailoverPlan, statuses: Statuses) -> int:
-    """The newest term in which an instance is known to have led; a fence alone is none."""
+    """Return the newest term in which an instance is known to have led; a fence starts no term."""
     return max([plan.led_term, *(item.term for item in statuses.values())])
 
 
 def _has_all_acknowledged(plan: FailoverPlan, candidate: InstanceStatus) -> bool:
-    """Whether a log has all that proxies acknowledged, or nobody knows how far that goes."""
+    """Whether a log has everything that proxies acknowledged; True if that is not known."""
     return plan.acknowledged is None or holds(candidate.received, plan.acknowledged.end)
 
 
-def _best(plan: FailoverPlan, able: list[InstanceStatus]) -> InstanceStatus | None:
-    staying = [item for item in able if item.instance not in plan.leaving]
-    chosen = staying or able
+def _prefer_staying(plan: FailoverPlan, eligible: list[InstanceStatus]) -> InstanceStatus | None:
+    staying = [item for item in eligible if item.instance not in plan.leaving]
+    chosen = staying or eligible
     return max(chosen, key=lambda item: (item.received, item.instance), default=None)
--- a/src/orchidwind/promoted/core/failover_members.py
+++ b/src/orchidwind/promoted/core/failover_members.py
@@ -1,10 +1,11 @@
-"""Who counts as a member during a change of primary: all that may have confirmed. No I/O, no clock.
+"""The members of a change of primary: all instances that may have confirmed commits.
 
-What for: a count of fences proves something only if everybody who may have confirmed commits is a
-member. So the members are read anew once nobody acknowledges any more, and an instance of which
-nothing was heard since the newest term began counts if it answers.
+A count of fences is a proof only if every instance that may have confirmed commits is a member. So
+the members are read again once no more commits are acknowledged, and an instance of which nothing
+was heard since the newest term began is a member if it answers.
 
-Owns: nothing. Relies on: the driver, which reads directory and roster for `ReadMembers`.
+Owns: nothing. Relies on: the driver, which reads directory and roster for `ReadMembers`. No I/O, no
+clock.
 """
 
 from __future__ import annotations
@@ -13,7 +14,7 @@
 
 from msgspec.structs import replace
 
-from orchidwind.promoted.core.failover_fences import Answers, ask
+from orchidwind.promoted.core.failover_fences import Answers, query_statuses
 from orchidwind.promoted.core.failover_steps import (
     FailoverPlan,
     FailoverStep,
@@ -23,16 +24,18 @@
     Wait,
 )
 
-# Seconds from the first commit that an instance confirms until its entry is listed: it writes
-# its entry at once, within 12 to 14 ms (docs/incidents, the one on LOST); four times that.
-# One that is listed later is missed: docs/DECISIONS.md, "What a change of primary rests on".
+# Seconds from the first commit that an instance confirms until its directory entry is listed. It
+# writes its entry at once, which takes 12 to 14 ms (docs/incidents, the one on LOST); this is four
+# times as long. An instance that is listed later is missed: docs/DECISIONS.md, "What a change of
+# primary rests on".
 LISTING_SECONDS = 0.06
 
 
-def count_answering(plan: FailoverPlan, statuses: Statuses) -> FailoverPlan:
-    """Instances of which nothing was heard since the newest term began are members if they answer.
+def include_answering(plan: FailoverPlan, statuses: Statuses) -> FailoverPlan:
+    """Return the plan with absent instances that answer made members.
 
-    Guards against one that is cut off from the store alone and goes on confirming.
+    Absent instances are those of which nothing was heard since the newest term began. Guards
+    against an instance that is cut off from the store only and goes on confirming.
     """
     answering = [name for name in plan.absent if name in statuses]
     members = tuple(sorted({*plan.members, *answering}))
@@ -43,14 +46,14 @@
 def read_members(
     plan: FailoverPlan,
 ) -> Generator[FailoverStep, FailoverStepResult, FailoverPlan]:
-    """The members as they are when nobody acknowledges any more."""
+    """Return the plan with the members as read after the last acknowledgement."""
     yield Wait(LISTING_SECONDS)
     fresh = yield ReadMembers()
     if not isinstance(fresh, FailoverPlan):
         return replace(plan, members_known=False)
-    statuses = yield from ask(fresh.absent) if fresh.absent else _nothing()
-    fresh = count_answering(fresh, statuses)
-    # Nobody is taken off: who was a member a moment ago may hold a commit.
+    statuses = yield from query_statuses(fresh.absent) if fresh.absent else _no_statuses()
+    fresh = include_answering(fresh, statuses)
+    # No member is removed: one that was a member before may hold a commit.
     members = {*plan.members, *fresh.members}
     return replace(
         plan,
@@ -64,6 +67,6 @@
     )
 
 
-def _nothing() -> Answers:
+def _no_statuses() -> Answers:
     yield from ()
     return {}
--- a/src/orchidwind/promoted/core/failover_primary.py
+++ b/src/orchidwind/promoted/core/failover_primary.py
@@ -1,10 +1,11 @@
-"""Which primary leads, as the answers of the instances show, and whether it must be replaced.
+"""Which primary leads according to the instances' answers, and whether it must be replaced.
 
-What for: a change of primary begins on what a proxy saw (`change_reasons`), which may be no more
-than its own bad network. These rules look at what the instances answer, before the promotion lock
-is taken, again under it, and when a lost primary comes back meanwhile. No I/O, no clock.
+A proxy starts a change of primary because of what it observed (`change_reasons`), which may be due
+to its own network only. These rules look at what the instances answer: before the promotion lock is
+taken, again while it is held, and when a lost primary comes back during the change. No I/O, no
+clock.
 
-Owns: nothing. Relies on: a plan whose members are all that may have confirmed commits.
+Owns: nothing. Relies on: a plan whose members are all instances that may have confirmed commits.
 """
 
 from __future__ import annotations
@@ -17,10 +18,10 @@
 from orchidwind.promoted.core.log_positions import holds
 
 
-def change_is_due(plan: FailoverPlan, statuses: Statuses) -> bool:
-    """Whether there is something to do: a primary to replace, or fences that were left behind."""
+def change_is_needed(plan: FailoverPlan, statuses: Statuses) -> bool:
+    """Whether there is a primary to replace, or fences that were left behind."""
     if primary_stays(plan, statuses):
-        return bool(fenced_ones(statuses))
+        return bool(fenced_names(statuses))
     return plan.reason is not FailoverReason.LEFT_FENCED
 
 
@@ -34,8 +35,11 @@
 
 
 def may_succeed(plan: FailoverPlan, statuses: Statuses) -> bool:
-    """Whether enough instances answer; without them the lock would only keep others from trying."""
-    if fenced_ones(statuses):
+    """Whether enough instances answer for a change.
+
+    If they do not, holding the lock would only keep other proxies from trying.
+    """
+    if fenced_names(statuses):
         return True
     leader = leader_of(plan, statuses)
     replicas = replicas_among(statuses.values())
@@ -46,12 +50,14 @@
     return len(replicas) >= needed_fences(plan)
 
 
-def some_keep_up(plan: FailoverPlan, led_before: InstanceStatus | None, statuses: Statuses) -> bool:
-    """Whether a primary that leaves has a successor in sight.
+def has_caught_up_successor(
+    plan: FailoverPlan, led_before: InstanceStatus | None, statuses: Statuses
+) -> bool:
+    """Whether a primary that is about to leave has a successor with a complete log.
 
-    Guards against one that is demoted and, as its log alone is whole, promoted again, by one proxy
-    after the other, each second: two holders of the lock alternate then. `led_before` is what it
-    answered a moment ago; who keeps up has that by now.
+    Without this check such a primary would be demoted and, as only its own log is complete,
+    promoted again, once a second, by two proxies that take the lock in turns. `led_before` is the
+    primary's earlier answer; a replica that keeps up has received that much by now.
     """
     leader = leader_of(plan, statuses)
     if leader is None or leader.instance not in plan.leaving:
@@ -64,12 +70,12 @@
 
 
 def some_replica_follows(leader: InstanceStatus, later: Statuses) -> bool:
-    """Whether a replica received, meanwhile, all that the leader had: it does confirm commits."""
+    """Whether a replica has since received all that the leader had, and so does confirm commits."""
     return any(item.received >= leader.received for item in replicas_among(later.values()))
 
 
 def leader_of(plan: FailoverPlan, statuses: Statuses) -> InstanceStatus | None:
-    """The primary of the newest term that can have begun; None where none of them answers."""
+    """Return the primary of the newest term that can have begun, None if it does not answer."""
     best = _newest_answering_primary(statuses)
     if best is None or _successor_may_lead(plan, best, statuses):
         return None
@@ -77,7 +83,10 @@
 
 
 def _newest_answering_primary(statuses: Statuses) -> InstanceStatus | None:
-    """The primary of the newest term among those that answered, if no other knows a later one."""
+    """Return the answering primary of the newest term.
+
+    None if no primary answers, or if an instance knows of a newer term.
+    """
     primaries = [item for item in statuses.values() if item.role is InstanceRole.PRIMARY]
     best = max(primaries, key=lambda item: item.term, default=None)
     if best is None or any(item.term > best.term for item in statuses.values()):
@@ -86,28 +95,28 @@
 
 
 def _successor_may_lead(plan: FailoverPlan, leader: InstanceStatus, statuses: Statuses) -> bool:
-    """Whether another instance, promoted later, may lead out of this proxy's sight.
+    """Whether an instance that was promoted later may lead without this proxy seeing it.
 
-    Guards against an old primary that does not know of its successor, and is the only one that
+    Guards against an old primary that does not know of its successor and is the only one that
     answers: its log has nothing of the newer term.
     """
     last = plan.last_promotion
     if last is None or last.term <= leader.term or last.instance == leader.instance:
         return False
     if last.instance in statuses:
-        # It answers, and it does not know the term that it was promoted to: it never led.
+        # It answers. If it does not know the term that it was promoted to, it never led.
         return statuses[last.instance].term >= last.term
     if last.instance in plan.members and last.instance not in plan.unlisted:
-        # It runs, as the directory says: it may yet lead, or leads for others.
+        # The directory lists it, so it may still begin to lead, or leads already for other proxies.
         return True
     followers = [name for name in plan.members if name not in (leader.instance, last.instance)]
-    # It acknowledged nothing in its term if nobody followed it.
+    # Nothing was acknowledged in its term if no instance followed it.
     followed = any(name not in statuses or statuses[name].term >= last.term for name in followers)
     return followed or not followers
 
 
-def led_already(fenced: Statuses, fence_term: int) -> InstanceStatus | None:
-    """An instance that leads the new term: an earlier promotion has taken effect."""
+def find_new_primary(fenced: Statuses, fence_term: int) -> InstanceStatus | None:
+    """Return the primary of the new term if an earlier promotion has taken effect, else None."""
     leading = [
         item
         for item in fenced.values()
@@ -116,18 +125,18 @@
     return max(leading, key=lambda item: item.term, default=None)
 
 
-def primary_answers(fenced: Statuses) -> bool:
-    """Whether an old primary, lost before, is back."""
+def any_primary_answers(fenced: Statuses) -> bool:
+    """Whether an old primary that was lost answers again."""
     return any(item.role is InstanceRole.PRIMARY for item in fenced.values())
 
 
-def fenced_ones(statuses: Statuses) -> tuple[str, ...]:
-    """Replicas that hold a fence above the term they follow."""
+def fenced_names(statuses: Statuses) -> tuple[str, ...]:
+    """Return the names of replicas with a fence above the term that they follow."""
     return tuple(
         item.instance for item in replicas_among(statuses.values()) if item.fence_term > item.term
     )
 
 
 def replicas_among(statuses: Iterable[InstanceStatus]) -> list[InstanceStatus]:
-    """Those that are replicas."""
+    """Return the statuses that are those of replicas."""
     return [item for item in statuses if item.role is InstanceRole.REPLICA]
--- a/src/orchidwind/promoted/core/failover_report.py
+++ b/src/orchidwind/promoted/core/failover_report.py
@@ -1,7 +1,8 @@
-"""On what a choice of the next primary rested, for the log. No I/O, no clock.
+"""The grounds for a choice of the next primary, for the log. No I/O, no clock.
 
-What for: after a lost commit, or a group without a primary, the log shows whose log was counted and
-why each other instance was passed over. Owns: nothing. Relies on: `failover_choice` for the rule.
+After a lost commit, or when a group is left without a primary, the log shows whose logs were
+counted and why each other instance was not chosen. Owns: nothing. Relies on: `failover_choice` for
+the rule.
 """
 
 from __future__ import annotations
@@ -23,10 +24,10 @@
     fence_term: int,
     chosen: InstanceStatus | None,
 ) -> ChoiceReport:
-    """On what a choice rested."""
+    """Return the grounds for a choice, or for choosing no instance."""
     counted = counted_replicas(plan, fenced, demoted, fence_term)
     passed_over = [
-        (name, _why_not(plan, name, fenced, chosen, fence_term, len(counted)))
+        (name, _reason_not_chosen(plan, name, fenced, chosen, fence_term, len(counted)))
         for name in sorted({*plan.members, *fenced})
         if chosen is None or name != chosen.instance
     ]
@@ -42,7 +43,7 @@
     )
 
 
-def _why_not(
+def _reason_not_chosen(
     plan: FailoverPlan,
     name: str,
     fenced: Statuses,
--- a/src/orchidwind/promoted/core/failover_steps.py
+++ b/src/orchidwind/promoted/core/failover_steps.py
@@ -1,6 +1,6 @@
-"""What a change of primary begins with, the steps that it takes, and what comes back. No I/O.
+"""Input, steps and results of a change of primary. No I/O.
 
-What for: the flow in `failover` yields these steps; a driver, the product's or the explorer's,
+The flow in `failover` yields these steps. A driver, that of the proxy or that of the explorer,
 carries them out. Owns and relies on: nothing.
 """
 
@@ -20,7 +20,7 @@
 
 @unique
 class FailoverReason(Enum):
-    """Why a change of primary is looked into."""
+    """Why a proxy considers a change of primary."""
 
     UNREACHABLE = "unreachable"
     LEAVING = "leaving"
@@ -40,12 +40,12 @@
 
 
 class AcknowledgedCommits(Struct, frozen=True):
-    """Up to where proxies that hold lead leases may have acknowledged commits of a group.
+    """How far proxies that hold leadership leases may have acknowledged commits of a group.
 
-    Others acknowledge only what a listed replica holds that nobody has fenced.
-    `end` is an end of the primary's log at such a time, so it may lie beyond what was acknowledged.
-    `known_since`: below this revision of the promotion lock a proxy may have acknowledged more,
-    and ended.
+    Proxies without a lease acknowledge only commits that a listed replica holds while no listed
+    instance is fenced. `end` is an end of the primary's log at such a time, so it may lie beyond
+    what was acknowledged. `known_since`: a proxy that ended before the promotion lock had this
+    revision may have acknowledged more.
     """
 
     end: Position
@@ -55,26 +55,28 @@
     def by_all(
         cls, ends: Iterable[Position], first_revisions: Iterable[StoreRevision], era: int
     ) -> AcknowledgedCommits:
-        """What all proxies reported: their ends, and the lock's revision that each saw first.
+        """Combine the reports of all proxies.
 
-        Reports of an earlier era of the store than `era` may be lost, with what they said.
+        `ends`: the log ends that they reported. `first_revisions`: the first revision of the lock
+        that each of them saw. Reports from an era of the store before `era` may be lost, so
+        `known_since` never lies before the beginning of `era`.
         """
         era_began = StoreRevision.of(era, 0)
         return cls(max(ends, default=Position(0, 0)), max(era_began, *first_revisions))
 
 
 class FailoverPlan(Struct, frozen=True):
-    """What the proxy believes when it begins, and again when it has read the members anew.
-
-    `members` are all instances that may have confirmed commits; `leaving` those of them that must
-    not lead; `old_primary` is empty where none is known. Without `members_known` there may be
-    others that this proxy has not heard of: then only a demoted primary's log is a measure.
-    `led_term` is the newest term in which an instance is known to have led. `absent` are instances
-    of which neither the directory nor this proxy has heard since that term began: they are members
-    if they answer; else it depends on `acknowledged`, what all proxies have acknowledged, whether
-    they are needed.
-    `unlisted` are those that the directory does not name. `last_promotion` is what the group's
-    roster names, None where nobody was ever promoted.
+    """What the proxy knows when a change begins, and again after it has read the members.
+
+    `members` are all instances that may have confirmed commits; `leaving` are instances that must
+    not lead; `old_primary` is empty if none is known. Without `members_known` there may be further
+    members that this proxy does not know: then only a demoted primary's log shows whether another
+    log is complete. `led_term` is the newest term in which an instance is known to have led.
+    `absent` are instances of which neither the directory nor this proxy has heard since that term
+    began: they are members if they answer; otherwise `acknowledged`, what all proxies have
+    acknowledged, decides whether their logs are needed. `unlisted` are instances that the directory
+    does not list. `last_promotion` is the record in the group's roster, None if no instance was
+    ever promoted.
     """
 
     group: str
@@ -92,7 +94,7 @@
 
 
 class FailoverResult(Struct, frozen=True):
-    """The outcome; `primary` and `term` where it is DONE."""
+    """The outcome of a change; `primary` and `term` are set if it is DONE."""
 
     outcome: FailoverOutcome
     primary: str = ""
@@ -100,12 +102,12 @@
 
 
 class LockLost(OrchidwindError):
-    """The promotion lock's time has passed."""
+    """The holding time of the promotion lock is over."""
 
 
 @unique
 class PromotionAnswer(Enum):
-    """What came back from the promotion call."""
+    """The answer to the promotion call."""
 
     ACCEPTED = "accepted"
     REFUSED = "refused"
@@ -113,10 +115,10 @@
 
 
 class ChoiceReport(Struct, frozen=True):
-    """On what a choice of the next primary rested, for the log.
+    """The grounds for a choice of the next primary, for the log.
 
-    `passed_over`: each instance that was not chosen, and why. `chosen` is empty where no instance
-    is known to have every acknowledged commit.
+    `passed_over`: each instance that was not chosen, and the reason. `chosen` is empty if no
+    instance is known to have every acknowledged commit.
     """
 
     members: tuple[str, ...]
@@ -134,56 +136,67 @@
 
 
 class ReleaseLock(Struct, frozen=True):
-    """Give the lock back."""
+    """Release the promotion lock."""
 
 
 class AskAll(Struct, frozen=True):
-    """Ask instances for their status; the result is a map of those that answered."""
+    """Ask instances for their status.
+
+    The result maps the name of each instance that answers to its status.
+    """
 
     instances: tuple[str, ...]
 
 
 class FenceAll(Struct, frozen=True):
-    """Keep instances from receiving of primaries below `term`; the result as for AskAll."""
+    """Fence instances: they accept no log from primaries below `term`.
+
+    The result is as for AskAll.
+    """
 
     instances: tuple[str, ...]
     term: int
 
 
 class UnfenceAll(Struct, frozen=True):
-    """Let instances receive again; the result as for AskAll."""
+    """Lift the fences of instances; the result is as for AskAll."""
 
     instances: tuple[str, ...]
 
 
 class Demote(Struct, frozen=True):
-    """Turn a primary of a lower term into a replica; the result as for AskAll."""
+    """Turn a primary of a term below `term` into a replica; the result is as for AskAll."""
 
     instance: str
     term: int
 
 
 class AwaitRevocation(Struct, frozen=True):
-    """Wait until no proxy relies on the old primary by a lead lease, to read or to acknowledge.
+    """Wait until no proxy relies on a leadership lease for the old primary.
 
-    The result is AcknowledgedCommits, None where some proxy did not say what it acknowledged.
+    A lease allows a proxy to read and to acknowledge commits. The result is AcknowledgedCommits,
+    None if some proxy did not report what it acknowledged.
     """
 
 
 class ReadMembers(Struct, frozen=True):
-    """Read anew who may have confirmed; a FailoverPlan, None where the store does not answer."""
+    """Read again which instances may have confirmed commits.
+
+    The result is a FailoverPlan, None if the store does not answer.
+    """
 
 
 class ReportChoice(Struct, frozen=True):
-    """Log on what a choice rested."""
+    """Log the grounds for a choice."""
 
     report: ChoiceReport
 
 
 class RecordPromotion(Struct, frozen=True):
-    """Write down that an instance is about to be promoted; whether it surely is in the store.
+    """Record in the store that an instance is about to be promoted.
 
-    `term` is the least term that it will lead, `start` the end of its log.
+    The result is True if the record is certainly in the store. `term` is the lowest term in which
+    the instance will lead, `start` the end of its log.
     """
 
     instance: str
@@ -192,13 +205,13 @@
 
 
 class Promote(Struct, frozen=True):
-    """Send the promotion, if the lock is surely held (else LockLost is thrown in)."""
+    """Send the promotion if the lock is certainly held; otherwise LockLost is thrown in."""
 
     instance: str
 
 
 class Wait(Struct, frozen=True):
-    """Wait for some seconds; LockLost is thrown in where the lock's time has passed."""
+    """Wait for some seconds; LockLost is thrown in if the lock's holding time is over."""
 
     seconds: float
 
--- a/src/orchidwind/promoted/core/freshness.py
+++ b/src/orchidwind/promoted/core/freshness.py
@@ -1,20 +1,21 @@
-"""How old a view of something kept elsewhere may become, and what is due at which age. No I/O.
+"""How old a view of stored data may become, and what is to be done at which age. No I/O.
 
-For: `promoted.views`, whose drivers hold the calls and timers and ask here. Owns the times of a
-followed view and every choice by them: when other proxies are asked, when the store is read anew,
-when a view is too old, how long a failed call rests. Times are in seconds of one steady clock.
+For `promoted.views`, whose drivers hold the calls and timers and ask here. Owns the times of a
+followed view and every decision that depends on them: when other proxies are asked, when the store
+is read again, when a view is too old, how long to pause after a failed call. Times are in seconds
+of one steady clock.
 
-A proxy follows the configuration, the directory and more from afar. Silence of a source looks like
-"nothing has changed", so each view has an age: the time since it was last known to be current. A
-promise that names a time bounds that age. Everything that keeps it below the bound is a share of
-the bound; in the worst case, a source that is reachable again is read after
+A proxy follows the configuration, the directory and other data that the store holds. A source that
+is silent looks like one without changes, so each view has an age: the time since it was last known
+to be current. A promise that names a time bounds that age. Every time that keeps the age below the
+bound is a share of the bound. In the worst case, a source that is reachable again is read after the
+following share of the bound, and a call of the store takes some milliseconds:
 
-    watch_wait + answer_slack                       a swallowed watch is given up       0.40
-    or read_at_age + hedge_after                    a view confirmed by others ends     0.80
+    watch_wait + answer_slack       0.40    a watch whose answer was lost is given up
+    or read_at_age + hedge_after    0.80    a view is no longer confirmed by other proxies
 
-of the bound, and a call of the store takes some milliseconds. The shares are such that these
-sums hold; what they leave is for slow machines and slow answers
-(docs/SILENCE.md, "Connections (promoted groups)", has the ages that are reached).
+The shares are chosen so that these sums hold; the rest of the bound is for slow machines and slow
+answers (docs/SILENCE.md, "Connections (promoted groups)", has the ages that are reached).
 """
 
 from __future__ import annotations
@@ -23,38 +24,40 @@
 
 from msgspec import Struct
 
-# Shares of the bound, as said above. Two waits together stay below the age at which the
-# store is read: an answer that tells of a change may have been on its way since its watch was sent,
-# so only the next one confirms the view.
+# Shares of the bound, as described above. Two waits together stay below the age at which the store
+# is read: an answer that reports a change may have been under way since its watch was sent, so only
+# the next answer confirms the view.
 _WATCH_WAIT_SHARE = 0.25
 _ANSWER_SLACK_SHARE = 0.15
 _ASK_SHARE = 0.15
 _READ_SHARE = 0.6
 _HEDGE_SHARE = 0.2
 _PAUSE_SHARE = 0.1
-# A long content that another proxy sends, where the store does not serve this one.
+# For large content that another proxy sends while the store does not serve this one.
 _WHOLE_SHARE = 0.4
-# A proxy that others inform needs the store itself only where the store serves it and not them. In
-# an outage all proxies ask: the readers often, these seldom.
+# A proxy that others inform needs the store only if the store serves it and not them. In an outage
+# all proxies call the store: those that read for others often, those that are informed seldom.
 _RELYING_PAUSE_SHARE = 0.3
-# A watch that nobody's promise waits for costs one call each 30 s, the longest the store allows.
+# A watch on which no promise depends costs one call every 30 s, the longest wait that the store
+# allows.
 LONGEST_WATCH_SECONDS = 30.0
-# Time beyond its wait that such a watch has for its answer. A store slowed a hundredfold
-# takes 0.4 s.
-_UNHURRIED_SLACK_SECONDS = 1.0
-# Where no promise says otherwise. A store slowed a hundredfold answers twice meanwhile.
-_UNHURRIED_HEDGE_SECONDS = 1.0
-# An outage is found over within a second.
-_UNHURRIED_PAUSE_SECONDS = 0.5
-# No view without a bound is long.
-_UNHURRIED_WHOLE_SECONDS = 2.0
-# So many calls at once let a store answer that needs as many times `hedge_after`. With 0.2
-# of the bound each, a call that is given up has lasted for the whole bound.
+# Time beyond its wait that such a watch has for its answer. A store slowed down a hundredfold takes
+# 0.4 s.
+_UNBOUNDED_SLACK_SECONDS = 1.0
+# Used for a view without a bound. A store slowed down a hundredfold answers twice in this time.
+_UNBOUNDED_HEDGE_SECONDS = 1.0
+# The end of an outage is noticed within a second.
+_UNBOUNDED_PAUSE_SECONDS = 0.5
+# No view without a bound is large.
+_UNBOUNDED_WHOLE_SECONDS = 2.0
+# Most calls of the store at once for one view. With this number the store may take this many times
+# `hedge_after` to answer; at 0.2 of the bound each, a call that is given up has lasted for the
+# whole bound.
 MOST_CALLS = 5
-# The first pause after a failed call, seconds; each further one is twice as long. A store
-# that refused once is asked again before any bound is near.
+# The first pause after a failed call, in seconds; each further one is twice as long. A store that
+# refused one call is called again before any bound is near.
 FIRST_PAUSE_SECONDS = 0.1
-# Between two checks at least, seconds. A check that finds nothing to do must not be
+# Shortest time between two checks, in seconds: a check that finds nothing to do must not be
 # repeated without a pause.
 SHORTEST_CHECK_SECONDS = 0.01
 
@@ -62,16 +65,16 @@
 class FollowTimes(Struct, frozen=True):
     """The times by which one view is followed, all in seconds.
 
-    `bound`: the greatest age that a promise allows, None where none depends on the view.
-    `watch_wait`: how long a watch waits whose answer alone shows that the view is current.
-    `relying_wait`: how long it waits where other proxies confirm the view meanwhile; None: such a
-    proxy does not watch at all and takes changes from the others, too.
-    `answer_slack`: how much later than its wait a watch may be answered.
-    `ask_every`: how often others are asked, once the view is that old; None: never.
-    `read_at_age`: the age at which the store is read, whatever was waited for.
-    `hedge_after`: a read without an answer is repeated beside the first after this time.
-    `longest_pause`: between two failed calls; `relying_pause`: where others are relied upon.
-    `whole_wait`: how long another proxy has to send a long content.
+    `bound`: the greatest age that a promise allows, None if no promise depends on the view.
+    `watch_wait`: how long a watch waits if its answer alone shows that the view is current.
+    `relying_wait`: how long a watch waits if other proxies confirm the view meanwhile; None: a
+    proxy that relies on others does not watch and gets changes from them, too. `answer_slack`: how
+    much later than its wait a watch may be answered. `ask_every`: how often other proxies are
+    asked, once the view has this age; None: never. `read_at_age`: the age at which the store is
+    read, whatever other answers are pending; None: never. `hedge_after`: the time after which a
+    read without an answer is repeated in parallel. `longest_pause`: the longest pause between two
+    failed calls; `relying_pause`: the same for a proxy that relies on others. `whole_wait`: how
+    long another proxy has to send large content.
     """
 
     bound: float | None
@@ -87,10 +90,10 @@
 
     @classmethod
     def within(cls, bound: float, watched_by_all: bool = True) -> FollowTimes:
-        """For a view that is to be at most `bound` seconds old.
+        """Return the times for a view that is to be at most `bound` seconds old.
 
-        With `watched_by_all` every proxy has the store tell it of changes; without, most have them
-        from others some time later, which costs the store nothing.
+        With `watched_by_all` every proxy watches the store for changes. Otherwise most proxies get
+        changes from other proxies some time later, which costs the store nothing.
         """
         return cls(
             bound=bound,
@@ -107,23 +110,23 @@
 
     @classmethod
     def unhurried(cls, watch_wait: float) -> FollowTimes:
-        """For a view that costs time at most when it is old."""
+        """Return the times for a view whose age breaks no promise: an old view only costs time."""
         return cls(
             bound=None,
             watch_wait=watch_wait,
             relying_wait=watch_wait,
-            answer_slack=_UNHURRIED_SLACK_SECONDS,
+            answer_slack=_UNBOUNDED_SLACK_SECONDS,
             ask_every=None,
             read_at_age=None,
-            hedge_after=_UNHURRIED_HEDGE_SECONDS,
-            longest_pause=_UNHURRIED_PAUSE_SECONDS,
-            relying_pause=_UNHURRIED_PAUSE_SECONDS,
-            whole_wait=_UNHURRIED_WHOLE_SECONDS,
+            hedge_after=_UNBOUNDED_HEDGE_SECONDS,
+            longest_pause=_UNBOUNDED_PAUSE_SECONDS,
+            relying_pause=_UNBOUNDED_PAUSE_SECONDS,
+            whole_wait=_UNBOUNDED_WHOLE_SECONDS,
         )
 
 
 class ViewAge:
-    """Since when one view is not known to be current, and when others are to be asked."""
+    """When one view was last known to be current, and when other proxies are to be asked."""
 
     def __init__(self, times: FollowTimes, now: float) -> None:
         self._times = times
@@ -135,40 +138,46 @@
         return max(now - self._confirmed_at, 0.0)
 
     def confirmed(self, as_of: float) -> None:
-        """The view was current at a time."""
+        """Note that the view was current at a time."""
         self._confirmed_at = max(self._confirmed_at, as_of)
 
     def first_known(self, as_of: float) -> None:
-        """The first content, which was current at a time: it may be older than this proxy."""
+        """Note when the first content was current, which may be before this proxy started."""
         self._confirmed_at = as_of
 
     def asked(self, now: float) -> None:
-        """Others are asked now."""
+        """Note that other proxies are asked now."""
         self._asked_at = now
 
     def ask_due_in(self, now: float, first_ask_age: float) -> float | None:
-        """Seconds until others are to be asked, from an age on; None: never."""
+        """Return the seconds until other proxies are to be asked, None if they never are.
+
+        They are not asked before the view has the age `first_ask_age`.
+        """
         if self._times.ask_every is None:
             return None
         due = max(self._confirmed_at + first_ask_age, self._asked_at + self._times.ask_every)
         return max(due - now, 0.0)
 
     def read_due_in(self, now: float) -> float | None:
-        """Seconds until the store is to be read, whatever was waited for; None: never."""
+        """Return the seconds until the store is to be read, None if it never is.
+
+        The store is read then whatever other answers are pending.
+        """
         if self._times.read_at_age is None:
             return None
         return max(self._confirmed_at + self._times.read_at_age - now, 0.0)
 
     def too_old(self, now: float) -> bool:
-        """Whether the view is older than the promise that rests on it allows."""
+        """Whether the view is older than the promise that depends on it allows."""
         return self._times.bound is not None and self.age(now) > self._times.bound
 
 
 class SourceRole(Enum):
-    """How a proxy comes to know that a view is current.
+    """How a proxy learns that a view is current.
 
-    ALONE: by the store only. READER: by the store, and other proxies ask this one. RELYING: others
-    are asked and confirm the view.
+    ALONE: from the store only. READER: from the store, and other proxies ask this one. RELYING:
+    from other proxies, which it asks.
     """
 
     ALONE = auto()
@@ -177,7 +186,7 @@
 
 
 class FollowRule:
-    """What is due about one followed view; it has the view's age."""
+    """Decides what is to be done about one followed view; holds the age of the view."""
 
     def __init__(self, times: FollowTimes, now: float) -> None:
         self._times = times
@@ -188,44 +197,45 @@
         return self._age.age(now)
 
     def too_old(self, now: float) -> bool:
-        """Whether the view is older than the promise that rests on it allows.
+        """Whether the view is older than the promise that depends on it allows.
 
-        A sign for operators (`view_too_old`): requests are served on.
+        Only reported to operators (`view_too_old`): requests are still served.
         """
         return self._age.too_old(now)
 
     def confirmed(self, as_of: float) -> None:
-        """The view was current at a time."""
+        """Note that the view was current at a time."""
         self._age.confirmed(as_of)
 
     def first_known(self, as_of: float) -> None:
-        """The first content, which was current at a time: it may be older than this proxy."""
+        """Note when the first content was current, which may be before this proxy started."""
         self._age.first_known(as_of)
 
     def asked(self, now: float) -> None:
-        """Others are asked now."""
+        """Note that other proxies are asked now."""
         self._age.asked(now)
 
     def watch_wait(self, role: SourceRole) -> float | None:
-        """For how long a watch of the store waits; None: the store is not watched at all."""
+        """Return how long a watch of the store waits, None if the store is not watched at all."""
         relying = role is SourceRole.RELYING
         return self._times.relying_wait if relying else self._times.watch_wait
 
     def watch_confirms(
         self, sent_at: float, answered_at: float, wait: float, told_changes: bool
     ) -> float:
-        """As of when the answer to a watch shows the view to be current.
+        """Return the time at which the view was current, as the answer to a watch shows.
 
-        Without changes it was made when the wait was over. One that tells of changes, or came
-        before, may have been made at any time since the watch was sent, and been long on its way.
+        An answer without changes was made at the end of the wait. An answer that reports changes,
+        or that came before the end of the wait, may have been made at any time since the watch was
+        sent, and have been under way for long.
         """
         waited = answered_at - sent_at >= wait and not told_changes
         return sent_at + wait if waited else sent_at
 
     def ask_due_in(self, now: float, role: SourceRole) -> float | None:
-        """Seconds until others are to be asked; None: never.
+        """Return the seconds until other proxies are to be asked, None if they never are.
 
-        A reader asks only where its own watch should have been answered.
+        A reader asks them only if its own watch should have been answered by then.
         """
         if role is SourceRole.ALONE:
             return None
@@ -235,9 +245,9 @@
         return self._age.ask_due_in(now, first_ask_age)
 
     def check_due_in(self, now: float, role: SourceRole, may_be_old: bool) -> float | None:
-        """Seconds until something may be due; None: nothing will be.
+        """Return the seconds until the next check of what is to be done, None if none is needed.
 
-        `may_be_old`: the store is being read, so that the view's age asks for no other reading.
+        `may_be_old`: the store is being read already, so the view's age calls for no other reading.
         """
         due = [self.ask_due_in(now, role)]
         if not may_be_old:
@@ -246,38 +256,38 @@
         return max(min(times), SHORTEST_CHECK_SECONDS) if times else None
 
     def read_due(self, now: float) -> bool:
-        """Whether the store is to be read now, whatever is waited for."""
+        """Whether the store is to be read now, whatever other answers are pending."""
         return self._age.read_due_in(now) == 0.0
 
     def answer_arriving(self, now: float, last_byte_at: float) -> bool:
-        """Whether an answer of the store is on its way, so that it is waited for."""
+        """Whether an answer of the store is arriving, so that it is worth waiting for."""
         return now - last_byte_at < self._times.hedge_after
 
     def store_unserved(self, now: float, reading_since: float | None) -> bool:
-        """Whether the store does not serve this proxy: others must send what is long, too."""
+        """Whether the store does not serve this proxy, so that others must send large content."""
         return reading_since is not None and now - reading_since > self._times.hedge_after
 
     def first_view_outdated(self, now: float, as_of: float) -> bool:
         """Whether a first view that another proxy sent is older than the promise allows.
 
-        Then the store is waited for: nothing was promised by a proxy that has no view yet.
+        The proxy then waits for the store: a proxy that has no view yet has promised nothing.
         """
         return self._times.bound is not None and now - as_of > self._times.bound
 
 
 class RetryPause:
-    """The pauses between calls to the store that fail, for one view."""
+    """The pauses between failing calls to the store, for one view."""
 
     def __init__(self, times: FollowTimes) -> None:
         self._times = times
         self.seconds = FIRST_PAUSE_SECONDS
 
     def reset(self) -> None:
-        """The store has answered."""
+        """Return to the first pause, as the store has answered."""
         self.seconds = FIRST_PAUSE_SECONDS
 
     def lengthen(self, role: SourceRole) -> None:
-        """A call has failed again: the next pause is twice as long, up to a bound."""
+        """Double the next pause, up to a limit, as a call has failed again."""
         relying = role is SourceRole.RELYING
         longest = self._times.relying_pause if relying else self._times.longest_pause
         self.seconds = min(self.seconds * 2, max(longest, FIRST_PAUSE_SECONDS))
--- a/src/orchidwind/promoted/core/group_state.py
+++ b/src/orchidwind/promoted/core/group_state.py
@@ -1,7 +1,7 @@
-"""A promoted group at one proxy: the topology, and what its server connections carry. No I/O.
+"""A promoted group at one proxy: its topology, and the state of its server connections. No I/O.
 
-What for: the flows ask which settings and prepared statements a connection lacks, and report what
-they learn of instances and of the lead. Owns: the settings and prepared names of each server
+The flows ask which settings and prepared statements a connection lacks, and report what they learn
+about instances and leadership. Owns: the settings and prepared statements of each server
 connection, and the group's topology. Relies on: a driver that reports each connection that opens
 and closes.
 """
@@ -18,7 +18,7 @@
 from orchidwind.shared.core.positions import Position
 
 
-class _Carried(Struct):
+class _ConnectionState(Struct):
     """The settings and prepared statements that a server connection has."""
 
     settings: dict[str, str] = field(default_factory=dict)
@@ -26,9 +26,9 @@
 
 
 class GroupState:
-    """What the flows of a group share.
+    """The state that the flows of a group share.
 
-    `now` reads the steady clock, in seconds; `on_change` is called when requests that wait, or the
+    `now` reads the steady clock, in seconds. `on_change` is called when waiting requests, or the
     supervisor of the group, have something new to look at.
     """
 
@@ -43,25 +43,28 @@
         self.topology = GroupTopology(settings, zone, entry_outlives)
         self.now = now
         self._on_change = on_change
-        self._carried: dict[int, _Carried] = {}
+        self._carried: dict[int, _ConnectionState] = {}
 
     # --- server connections -------------------------------------------------------------------
 
     def connection_opened(self, connection: int) -> None:
-        """A server connection is new: it carries nothing."""
-        self._carried[connection] = _Carried()
+        """Note a new server connection, which has no settings or prepared statements yet."""
+        self._carried[connection] = _ConnectionState()
 
     def connection_closed(self, connection: int) -> None:
-        """A server connection is gone."""
+        """Note that a server connection is closed."""
         self._carried.pop(connection, None)
 
     def settings_messages(
         self, connection: int, wanted: Mapping[str, str]
     ) -> list[InstanceMessage]:
-        """What brings a connection to exactly these settings; an ended one carries nothing."""
-        carried = self._carried.get(connection) or _Carried()
+        """Return the messages that give a connection exactly these settings.
+
+        A connection that has ended counts as one without settings.
+        """
+        state = self._carried.get(connection) or _ConnectionState()
         messages = []
-        held: Mapping[str, str] = carried.settings
+        held: Mapping[str, str] = state.settings
         if not held.keys() <= wanted.keys():
             messages.append(InstanceMessage(MessageKind.RESET))
             held = {}
@@ -73,47 +76,50 @@
     def prepare_messages(
         self, connection: int, prepared: PreparedStatement, after_reset: bool
     ) -> list[InstanceMessage]:
-        """What makes a prepared statement known on a connection."""
-        carried = self._carried.get(connection)
-        known = carried is not None and prepared.shared_name in carried.prepared
+        """Return the messages that prepare a statement on a connection, none if it is prepared."""
+        state = self._carried.get(connection)
+        known = state is not None and prepared.shared_name in state.prepared
         if known and not after_reset:
             return []
         message = InstanceMessage(MessageKind.PREPARE, name=prepared.shared_name, prepared=prepared)
         return [message]
 
     def note_messages(self, connection: int, messages: tuple[InstanceMessage, ...]) -> None:
-        """These messages were answered on a connection."""
-        carried = self._carried.get(connection)
-        if carried is None:
+        """Note that these messages were answered on a connection."""
+        state = self._carried.get(connection)
+        if state is None:
             return
         for message in messages:
             if message.kind is MessageKind.RESET:
-                carried.settings.clear()
-                carried.prepared.clear()
+                state.settings.clear()
+                state.prepared.clear()
             elif message.kind is MessageKind.SET:
-                carried.settings[message.name] = message.text
+                state.settings[message.name] = message.text
             elif message.kind is MessageKind.PREPARE:
-                carried.prepared.add(message.name)
+                state.prepared.add(message.name)
 
     # --- what the flows learn -----------------------------------------------------------------
 
     def replica_behind(self, instance: str, floor: Position) -> None:
-        """A replica lacked the floor of a read."""
+        """Note that the log of a replica did not reach the floor of a read."""
         self.topology.behind(instance, floor, self.now())
 
     def instance_busy(self, instance: str) -> None:
-        """An instance refused work."""
+        """Note that an instance refused a request."""
         self.topology.busy(instance, self.now())
 
     def refused_write(self, instance: str) -> None:
-        """An instance that was thought to lead refused a write."""
+        """Note that an instance that was believed to be primary refused a write."""
         self.topology.not_primary(instance, self.now())
         self._on_change()
 
     def commit_acknowledged(self, sent_at: float, position: Position | None) -> None:
-        """The primary acknowledged a commit: a replica still followed it, so the lead is proven."""
+        """Note that the primary acknowledged a commit.
+
+        A replica still followed it, so its leadership is proven for the time `sent_at`.
+        """
         self.topology.floors.prove(sent_at, position)
 
     def lead_proven(self, led_at: float, position: Position | None) -> None:
-        """The primary's answer had a position, and no later term had begun at a time before it."""
+        """Note a position from the primary's answer; it was proven to lead at the time `led_at`."""
         self.topology.floors.prove(led_at, position)
--- a/src/orchidwind/promoted/core/instance_lives.py
+++ b/src/orchidwind/promoted/core/instance_lives.py
@@ -1,13 +1,14 @@
-"""Names of instances within a proxy: each names one life of an instance. No I/O.
+"""Names of instances within a proxy: each names one incarnation of an instance. No I/O.
 
-What for: an instance may start again under the identity that it had, and then holds and knows
-nothing of before. Statuses, fences, proven logs, rosters, connections and breakers are kept by
-name; with a name of its own for each life nothing that was true of one is taken to be true of the
-next. The identity alone is what an instance answers to, and what its directory entry stands under.
+An instance may be restarted under the identity that it had, without its log and state. Statuses,
+fences, proven logs, rosters, connections and circuit breakers are kept by name. As each incarnation
+has a name of its own, nothing that was true of one is taken to be true of the next. The instance
+answers to its identity alone, which is also the key of its directory entry.
 
-A life is told by the moment of its start as the instance itself gives it, in Unix milliseconds:
-only an order among the lives of one identity, never compared with a clock of ours. An instance that
-gives none has one life, which is named by its identity.
+An incarnation is identified by its start time as the instance itself reports it, in Unix
+milliseconds. The time only orders the incarnations of one identity and is never compared with a
+clock of the proxy. An instance that reports none has a single incarnation, which is named by its
+identity.
 
 Owns and relies on: nothing.
 """
@@ -15,22 +16,25 @@
 from __future__ import annotations
 
 _SEPARATOR = "@"
-# Of a life without a start.
+# Start of an incarnation that reports no start time.
 NO_START = 0
 
 
 def life_name(identity: str, started_at_ms: int) -> str:
-    """The name of one life."""
+    """Return the name of one incarnation."""
     return f"{identity}{_SEPARATOR}{started_at_ms}" if started_at_ms != NO_START else identity
 
 
 def identity_of(name: str) -> str:
-    """What the instance answers to in every life."""
+    """Return the identity to which the instance answers in every incarnation."""
     return _parts(name)[0]
 
 
 def start_of(name: str) -> int:
-    """When a life began, Unix milliseconds by the instance's own word; NO_START where unknown."""
+    """Return when an incarnation began, in Unix milliseconds as the instance reported it.
+
+    NO_START if it is unknown.
+    """
     return _parts(name)[1]
 
 
--- a/src/orchidwind/promoted/core/log_positions.py
+++ b/src/orchidwind/promoted/core/log_positions.py
@@ -1,6 +1,6 @@
-"""Whether a log has everything up to a position: the comparison on which promises rest. No I/O.
+"""The comparison of log positions: whether a log has everything up to a position. No I/O.
 
-What for: acknowledging a commit and choosing the next primary must compare logs the same way.
+Acknowledging a commit and choosing the next primary must compare logs in the same way.
 """
 
 from __future__ import annotations
@@ -9,8 +9,8 @@
 
 
 def holds(log_end: Position, wanted: Position) -> bool:
-    """Whether a log that ends there has everything up to a position.
+    """Whether a log that ends at `log_end` has everything up to `wanted`.
 
-    By term and by number: one that follows a newer term may still lack what came before it.
+    Both term and number must reach as far: a log in a newer term may still lack earlier entries.
     """
     return log_end.term >= wanted.term and log_end.lsn >= wanted.lsn
--- a/src/orchidwind/promoted/core/roster.py
+++ b/src/orchidwind/promoted/core/roster.py
@@ -1,8 +1,9 @@
-"""The roster of a group: who may hold acknowledged commits, and who was promoted last. No I/O.
+"""The roster of a group: the instances that may hold acknowledged commits, and the last promotion.
 
-What for: a proxy that starts cannot have seen who left before, or a promotion that takes effect
+A proxy that starts cannot know which instances left before, or of a promotion that takes effect
 late; it reads both here. Owns: what one proxy knows of a roster (`KnownRoster`); the store holds
-it, `roster_keeper` writes it. Relies on: nothing but log positions and the store's revisions.
+the roster, and `roster_keeper` writes it. Relies on: log positions and the store's revisions only.
+No I/O.
 """
 
 from __future__ import annotations
@@ -17,11 +18,11 @@
 
 
 class PromotionRecord(Struct, frozen=True):
-    """The last promotion that was called, or was about to be; written before its call.
+    """The last promotion that was called, or was about to be; written before the call.
 
-    `instance` leads at `term` or later, if it took effect. `start` is the end of its log then: the
-    log that the term begins with. `token` is the fencing token of the call. `replaced` is the
-    primary before, empty where none was known.
+    If the promotion took effect, `instance` leads at `term` or later. `start` is the end of its log
+    at that time: the log with which the term begins. `token` is the fencing token of the call.
+    `replaced` is the previous primary, empty if none was known.
     """
 
     instance: str
@@ -43,44 +44,45 @@
 class KnownRoster:
     """One group's roster as a proxy knows it: what the store holds, and what it may have lost.
 
-    The store may come back from an older copy, whose roster names fewer. What was known before
-    counts on, and is to be written again, so that the store soon says no less than the union of its
-    copy and of what any proxy knew. The last promotion never goes back, whoever writes an older one
-    over it. `held` is the roster as the store holds it, not there yet where its revision is 0.
+    The store may be restored from an older copy, whose roster names fewer members. Members known
+    from before still count and are to be written again, so that the store soon holds the union of
+    its copy and of what any proxy knew. The last promotion never goes back, even if an older one is
+    written over it. `held` is the roster as the store holds it; revision 0 means that the store has
+    none yet.
     """
 
     def __init__(self, group: str, era: int = 0) -> None:
-        """`era`: of the store, as far as it is known."""
+        """`era`: the era of the store, as far as it is known."""
         self.held = Roster(group, (), StoreRevision.of(era, 0))
         self._lost_members: frozenset[str] = frozenset()
         self._last_promotion: PromotionRecord | None = None
 
     def take(self, stored: Roster) -> None:
-        """The store holds this, or held it a while ago."""
+        """Note a roster that the store holds, or held a while ago."""
         if stored.revision < self.held.revision:
             return
         if stored.revision.era > self.held.revision.era:
             self._lost_members |= frozenset(self.held.members)
         self.held = stored
-        self._last_promotion = _later(self._last_promotion, stored.last_promotion)
+        self._last_promotion = _later_promotion(self._last_promotion, stored.last_promotion)
 
     def absent(self, era: int) -> None:
-        """The store has no roster of this group in an era."""
+        """Note that the store has no roster of this group in an era."""
         if era > self.held.revision.era:
             self.take(Roster(self.held.group, (), StoreRevision.of(era, 0)))
 
     @property
     def known(self) -> Roster:
-        """All that is known; its revision is that of `held`."""
+        """Everything that is known, with the revision of `held`."""
         members = self.held.members
         if self._lost_members:
             members = tuple(sorted(self._lost_members.union(members)))
         return replace(self.held, members=members, last_promotion=self._last_promotion)
 
     def wanted(self, members_of: Callable[[Iterable[str]], tuple[str, ...]]) -> Roster | None:
-        """The roster as it is to be written, None where the store holds it so.
+        """Return the roster to be written, None if the store holds it already.
 
-        `members_of` gets the members that are known, and returns those that should be named.
+        `members_of` gets the known members and returns those that the roster should name.
         """
         known = self.known
         wanted = replace(known, members=members_of(known.members))
@@ -90,7 +92,9 @@
         return None
 
 
-def _later(one: PromotionRecord | None, other: PromotionRecord | None) -> PromotionRecord | None:
+def _later_promotion(
+    one: PromotionRecord | None, other: PromotionRecord | None
+) -> PromotionRecord | None:
     if one is None or other is None:
         return one or other
     return max(one, other, key=lambda record: record.token)
--- a/src/orchidwind/promoted/core/topology.py
+++ b/src/orchidwind/promoted/core/topology.py
@@ -1,11 +1,12 @@
-"""What a proxy knows of one promoted group: its instances and its primary. No I/O, no clock.
+"""What a proxy knows about one promoted group: its instances and its primary. No I/O, no clock.
 
-What for: who leads, who is a usable replica, whose role is uncertain. Only an instance's own answer
-makes it primary: the directory lags, and a primary that is cut off goes on claiming its lead there.
+Answers which instance leads, which are usable replicas, and whose role is uncertain. Only an
+instance's own answer makes it primary: the directory lags, and there a primary that is cut off
+still claims to lead.
 
 Owns: the view of each instance (`instance_view`), the newest term (`newest_term`), the proven
-floors (`proven_floors`), who may have confirmed commits (`confirming_instances`) and the last
-promotion that the roster names. Relies on: a driver that passes on each entry, status, answer and
+floors (`proven_floors`), the instances that may have confirmed commits (`confirming_instances`) and
+the last promotion in the roster. Relies on: a driver that passes on each entry, status, answer and
 failure with its time, in seconds of the steady clock.
 """
 
@@ -28,14 +29,14 @@
 
 
 class PrimaryView(Struct, frozen=True):
-    """The instance believed to be primary, and its term (0 while that is not known)."""
+    """The instance believed to be primary, and its term (0 while the term is unknown)."""
 
     instance: str
     term: int
 
 
 class GroupTopology:
-    """The instances of one group as this proxy sees them."""
+    """The instances of one group as this proxy knows them."""
 
     def __init__(
         self,
@@ -58,7 +59,10 @@
     # --- directory and roster -----------------------------------------------------------------
 
     def entry_changed(self, entry: DirectoryEntry) -> bool:
-        """An instance is listed; returns whether its claim to be primary has changed."""
+        """Note that an instance is listed; returns whether its claim to be primary has changed.
+
+        Also returns True for an instance that was not listed before.
+        """
         self.confirming.listed(entry.instance)
         view = self.instances.get(entry.instance)
         if view is None:
@@ -71,9 +75,10 @@
         return changed
 
     def entry_gone(self, instance: str, now: float, removal_unseen: bool = False) -> None:
-        """An instance is no longer listed; it may still run for a while.
+        """Note that an instance is no longer listed; it may still run for a while.
 
-        `removal_unseen`: nobody saw the entry go, it may come back with the directory.
+        `removal_unseen`: the removal of the entry was not observed, so the entry may come back when
+        the directory does.
         """
         view = self.instances.get(instance)
         if view is not None and view.listed:
@@ -82,10 +87,10 @@
             view.gone_at = now
 
     def life_ended(self, instance: str, now: float) -> None:
-        """An instance has started anew, under another name here: this life's log is gone.
+        """Note that an instance was restarted as a new incarnation, so that this one's log is gone.
 
-        It counts as one that left and took its log along, and nobody asks it for anything: what
-        listens at its address would answer for the life that follows.
+        The old incarnation counts as an instance that left and took its log with it. It is sent no
+        more requests: the process at its address would answer for the new incarnation.
         """
         self.entry_gone(instance, now)
         view = self.instances.get(instance)
@@ -93,7 +98,7 @@
             view.ended = True
 
     def promotion_read(self, record: PromotionRecord | None, now: float) -> None:
-        """The roster names the last promotion."""
+        """Note the last promotion that the roster names."""
         if record != self.last_promotion:
             self.last_promotion = record
             self._promotion_read_at = now
@@ -101,7 +106,7 @@
     # --- answers of instances -----------------------------------------------------------------
 
     def take_status(self, status: InstanceStatus) -> None:
-        """An instance answered a status query or control call."""
+        """Note an instance's answer to a status query or control call."""
         view = self.instances.get(status.instance)
         if view is None:
             return
@@ -109,31 +114,31 @@
         self._newest_term.seen(status.term, self.floors.last_proof_at)
 
     def answered(self, instance: str, now: float) -> None:
-        """An instance answered anything."""
+        """Note that an instance answered a request of any kind."""
         view = self.instances.get(instance)
         if view is not None:
             view.note_answer(now)
 
     def unreachable(self, instance: str, now: float) -> None:
-        """An instance did not answer or its connection broke."""
+        """Note that an instance did not answer or that its connection broke."""
         view = self.instances.get(instance)
         if view is not None:
             view.note_unreachable(now)
 
     def behind(self, instance: str, floor: Position, now: float) -> None:
-        """A replica lacked a floor: let it catch up."""
+        """Note that a replica's log did not reach a floor, so that it gets time to catch up."""
         view = self.instances.get(instance)
         if view is not None:
             view.note_behind(floor, now)
 
     def busy(self, instance: str, now: float) -> None:
-        """An instance refused work beyond its queue."""
+        """Note that an instance refused a request because its queue was full."""
         view = self.instances.get(instance)
         if view is not None:
             view.note_busy(now)
 
     def not_primary(self, instance: str, now: float) -> None:
-        """An instance refused a write: it leads no longer."""
+        """Note that an instance refused a write and so leads no longer."""
         view = self.instances.get(instance)
         if view is not None and view.status is not None:
             view.status = replace(view.status, role=InstanceRole.REPLICA, asked_at=now)
@@ -142,16 +147,16 @@
 
     @property
     def newest_led_term(self) -> int:
-        """The highest term that some instance was ever in; a fence alone is no new term."""
+        """The highest term that some instance was ever in; a fence alone starts no term."""
         return self._newest_term.term
 
     def primary_term(self, instance: str) -> int:
-        """The term in which an instance leads, 0 where it is not known to lead."""
+        """Return the term in which an instance leads, 0 if it is not known to lead."""
         view = self.instances.get(instance)
         return 0 if view is None else view.led_term
 
     def primary(self, now: float) -> PrimaryView | None:
-        """The usable and reachable instance that leads in the newest term."""
+        """Return the usable and reachable instance that leads in the newest term, else None."""
         best: PrimaryView | None = None
         for name, view in self.instances.items():
             term = view.led_term
@@ -164,10 +169,11 @@
         return best
 
     def successor_may_lead(self, instance: str, term: int) -> bool:
-        """Whether another instance was promoted since a term, and may lead out of sight.
+        """Whether an instance promoted after `term` may lead without this proxy seeing it.
 
-        Guards against a proxy on the side of an old primary: what it reaches knows of no later
-        term. An instance that has answered since, in a lower term, does not lead.
+        Guards against a proxy that is cut off together with an old primary: the instances that it
+        reaches know of no later term. An instance that has answered since the promotion was read,
+        in a lower term, does not lead.
         """
         last = self.last_promotion
         if last is None or last.term <= term or last.instance == instance:
@@ -180,10 +186,14 @@
             return True
         return status.term >= last.term
 
-    # --- others -------------------------------------------------------------------------------
+    # --- replicas and roles -------------------------------------------------------------------
 
     def replicas(self, now: float) -> list[str]:
-        """Usable instances other than the primary: reachable first, then unhurried, then near."""
+        """Return the usable instances other than the primary, the preferred ones first.
+
+        Reachable instances come first, then those that are not to be avoided, then those in this
+        proxy's zone.
+        """
         primary = self.primary(now)
         led = primary.instance if primary else ""
         names = [name for name, view in self.instances.items() if name != led and view.usable(now)]
@@ -197,8 +207,11 @@
         view = self.instances[name]
         return (not view.reachable, view.avoid_until > now, not self.is_near(name))
 
-    def of_uncertain_role(self) -> list[str]:
-        """Listed instances whose role in the directory is not what they answered last."""
+    def with_uncertain_role(self) -> list[str]:
+        """Return listed instances whose role in the directory differs from their last answer.
+
+        An instance that has not answered yet is included.
+        """
         return [
             name
             for name, view in self.instances.items()
@@ -207,7 +220,7 @@
         ]
 
     def fenced_above(self, term: int) -> list[str]:
-        """Listed replicas that were last seen with a fence above a term."""
+        """Return listed instances whose last known fence is above a term."""
         return [
             name
             for name, view in self.instances.items()
