--- a/src/orchidwind/commands/explain.py
+++ b/src/orchidwind/commands/explain.py
@@ -132,7 +132,7 @@
     return group == "" or other.fields.get("group", "") in ("", group)
 
 
-def story(lines: list[LogLine], request_id: str) -> list[str]:
+def explain_request(lines: list[LogLine], request_id: str) -> list[str]:
     """Return the lines of a request, each after the lines that explain it.
 
     The lines of a change of primary that followed the request's commit come last. Raises
--- a/src/orchidwind/commands/main.py
+++ b/src/orchidwind/commands/main.py
@@ -16,7 +16,7 @@
 import defopt
 
 from orchidwind.commands import operations
-from orchidwind.commands.explain import read_logs, story
+from orchidwind.commands.explain import explain_request, read_logs
 from orchidwind.elected.daemon import ProxyDaemon
 from orchidwind.platform.settings import load_platform_settings
 from orchidwind.shared.core.errors import OrchidwindError, SettingsError
@@ -119,7 +119,7 @@
     :param logs: log files of the proxies
     :param request_id: id of the request, as the caller knows it
     """
-    for line in story(read_logs(logs), request_id):
+    for line in explain_request(read_logs(logs), request_id):
         print(line)
 
 
--- a/src/orchidwind/elected/network/codec.py
+++ b/src/orchidwind/elected/network/codec.py
@@ -19,7 +19,7 @@
     ProbeRequest,
 )
 from orchidwind.shared.avro_records import (
-    DECODE_FAULTS,
+    DECODE_EXCEPTIONS,
     DecodeError,
     encode_frame_record,
     encode_record,
@@ -278,7 +278,7 @@
     try:
         name, fields = read_record(body, _LINK_SCHEMA)
         return msgspec.convert(fields, _LINK_TYPES[name], builtin_types=(bytes,))
-    except (msgspec.ValidationError, *DECODE_FAULTS) as error:
+    except (msgspec.ValidationError, *DECODE_EXCEPTIONS) as error:
         raise DecodeError(str(error)) from error
 
 
@@ -304,7 +304,7 @@
         fields["sender"] = _member(fields["sender"])
         fields["updates"] = tuple(_member(item) for item in fields["updates"])
         return _DATAGRAM_TYPES[name](**fields)
-    except DECODE_FAULTS as error:
+    except DECODE_EXCEPTIONS as error:
         raise DecodeError(str(error)) from error
 
 
--- a/src/orchidwind/elected/network/instance_connections.py
+++ b/src/orchidwind/elected/network/instance_connections.py
@@ -20,7 +20,7 @@
 from orchidwind.shared.core.errors import BackendConnectionLost, BackendRefused
 from orchidwind.shared.core.pool import OpenConnection
 from orchidwind.shared.logs import log_event
-from orchidwind.shared.silence import ConnectionKind, SilentConnection, log_silent
+from orchidwind.shared.silence import ConnectionKind, SilentConnection, log_silent_connection
 from orchidwind.shared.task_set import TaskSet
 
 # A caller that takes no rows for this time is given up; eight such callers held all replica
@@ -197,7 +197,7 @@
     def _found_silent(self, instance: str, number: int, connection: BackendConnection) -> None:
         """Close it, and those at rest: they cost little, and a statement each if silent, too."""
         now = self._loop.time()
-        log_silent(
+        log_silent_connection(
             SilentConnection(
                 ConnectionKind.INSTANCE_RUNNING,
                 instance,
--- a/src/orchidwind/elected/network/link_server.py
+++ b/src/orchidwind/elected/network/link_server.py
@@ -16,7 +16,7 @@
 from orchidwind.elected.network.home_service import HomeService
 from orchidwind.elected.network.link_session import LinkSession
 from orchidwind.shared.logs import log_event
-from orchidwind.shared.sockets import watchful
+from orchidwind.shared.sockets import configure_socket
 
 
 class LinkServer(TCPServer):
@@ -36,7 +36,7 @@
 
     async def handle_stream(self, stream: IOStream, address: tuple[str, int]) -> None:
         """Serve one link to its end."""
-        watchful(stream.socket)
+        configure_socket(stream.socket)
         self._streams.add(stream)
         session = LinkSession(
             stream, self._homes, self._configuration, next(self._serials), self._greeted
--- a/src/orchidwind/elected/network/peer_link.py
+++ b/src/orchidwind/elected/network/peer_link.py
@@ -16,8 +16,8 @@
 from orchidwind.elected.network.frame_stream import LINK_BUFFER_BYTES, FrameStream
 from orchidwind.elected.network.link_silence import LinkActions, LinkSilenceTimer
 from orchidwind.shared.core.errors import PeerUnavailable
-from orchidwind.shared.silence import ConnectionKind, SilentConnection, log_silent
-from orchidwind.shared.sockets import watchful
+from orchidwind.shared.silence import ConnectionKind, SilentConnection, log_silent_connection
+from orchidwind.shared.sockets import configure_socket
 
 # As long as an open link may be silent (`link_silence.py`).
 _LINK_CONNECT_SECONDS = 1.0
@@ -76,7 +76,7 @@
                     )
             except (OSError, StreamClosedError, TimeoutError) as error:
                 raise PeerUnavailable(str(error) or "no connection", sent=False) from error
-            watchful(stream.socket)
+            configure_socket(stream.socket)
             stream.write(codec.encode_frame(codec.Hello(self._own)))
             self._stream = stream
             self._silence = LinkSilenceTimer(self._actions(stream))
@@ -108,7 +108,7 @@
 
         def give_up(opened_for: float, silent_for: float) -> None:
             to = "{}:{}".format(*self._address)
-            log_silent(
+            log_silent_connection(
                 SilentConnection(
                     ConnectionKind.PEER_LINK,
                     to,
--- a/src/orchidwind/elected/postgres/listener.py
+++ b/src/orchidwind/elected/postgres/listener.py
@@ -14,7 +14,7 @@
 from orchidwind.elected.postgres.server_session import ServerSession, encode_error
 from orchidwind.elected.postgres.session_host import SessionHost
 from orchidwind.shared.core.errors import ErrorKind, RequestError
-from orchidwind.shared.sockets import watchful
+from orchidwind.shared.sockets import configure_socket
 
 # The protocol's process id is a signed number of 32 bits.
 MAXIMUM_PROCESS_ID = 2**31 - 1
@@ -39,7 +39,7 @@
 
     async def handle_stream(self, stream: IOStream, address: tuple[str, int]) -> None:
         """Serve one connection to its end."""
-        watchful(stream.socket)
+        configure_socket(stream.socket)
         if len(self.sessions) >= self.maximum_connections:
             error = RequestError(ErrorKind.TOO_MANY_CALLERS, "too many connections to this proxy")
             self._on_error(error)
--- a/src/orchidwind/platform/callers.py
+++ b/src/orchidwind/platform/callers.py
@@ -19,7 +19,7 @@
 from orchidwind.promoted.proxy_runtime import ProxyRuntime
 from orchidwind.shared.core.errors import ErrorKind, RequestError
 from orchidwind.shared.logs import log_event
-from orchidwind.shared.sockets import watchful
+from orchidwind.shared.sockets import configure_socket
 
 # One read of a socket, bytes. A window of TCP; longer messages take several reads.
 _READ_BYTES = 65536
@@ -37,7 +37,7 @@
 
     async def handle_stream(self, stream: IOStream, address: tuple[str, int]) -> None:
         """Serve one caller to its end."""
-        watchful(stream.socket)
+        configure_socket(stream.socket)
         connection = LineCaller(stream, self._proxy)
         self._registry.sessions.add(connection)
         self._proxy.metrics.sessions.set(len(self._registry.sessions))
--- a/src/orchidwind/platform/promotions.py
+++ b/src/orchidwind/platform/promotions.py
@@ -12,7 +12,12 @@
 from orchidwind.promoted.core.call_limits import PROMOTION_CALL_SECONDS
 from orchidwind.promoted.core.failover_steps import PromotionAnswer
 from orchidwind.promoted.core.instance_lives import identity_of
-from orchidwind.shared.silence import ConnectionKind, OnSilent, SilentConnection, log_silent
+from orchidwind.shared.silence import (
+    ConnectionKind,
+    OnSilent,
+    SilentConnection,
+    log_silent_connection,
+)
 
 _PATH = "/promotions"
 _HOLDER = "Duty-Holder"
@@ -23,7 +28,7 @@
     """Sends promotions in the name of this proxy."""
 
     def __init__(
-        self, address: tuple[str, int], proxy: str, on_silent: OnSilent = log_silent
+        self, address: tuple[str, int], proxy: str, on_silent: OnSilent = log_silent_connection
     ) -> None:
         self._on_silent = on_silent
         self._address = address
--- a/src/orchidwind/platform/published.py
+++ b/src/orchidwind/platform/published.py
@@ -21,7 +21,7 @@
     ReadConsistency,
 )
 from orchidwind.promoted.core.instance_lives import NO_START, life_name
-from orchidwind.shared.core.tenants import Tenant, key_digest, tenant_faults
+from orchidwind.shared.core.tenants import Tenant, key_digest, tenant_errors
 from orchidwind.shared.settings import parse_address
 
 _INSTANCES = "servers"
@@ -168,7 +168,7 @@
     if specs is None:
         return None
     tenants = tuple(_tenant(spec) for spec in specs)
-    faults = list(tenant_faults(tenants))
+    faults = list(tenant_errors(tenants))
     if faults:
         raise ValueError("; ".join(faults))
     return tenants
--- a/src/orchidwind/platform/store.py
+++ b/src/orchidwind/platform/store.py
@@ -44,7 +44,12 @@
     PlatformVersionGone,
 )
 from orchidwind.shared.logs import log_event
-from orchidwind.shared.silence import ConnectionKind, OnSilent, SilentConnection, log_silent
+from orchidwind.shared.silence import (
+    ConnectionKind,
+    OnSilent,
+    SilentConnection,
+    log_silent_connection,
+)
 
 # Statuses of a write that took effect.
 _WRITTEN = (200, 201)
@@ -87,7 +92,7 @@
         self,
         address: tuple[str, int],
         on_call: OnCall,
-        on_silent: OnSilent = log_silent,
+        on_silent: OnSilent = log_silent_connection,
         era: StoreEra | None = None,
     ) -> None:
         """`on_call` gets the method and the kind of object of each call; `era` is told of eras."""
--- a/src/orchidwind/promoted/group/connections.py
+++ b/src/orchidwind/promoted/group/connections.py
@@ -121,9 +121,9 @@
 
     # --- status queries and silence checks ----------------------------------------------------
 
-    def borrow_idle(self, instance: str) -> int | None:
+    def take_any_idle(self, instance: str) -> int | None:
         """Take an idle connection from its pool; None if there is none."""
-        return self.pools.of(instance).borrow_idle(self._loop.time())
+        return self.pools.of(instance).take_any_idle(self._loop.time())
 
     def borrow_idle_silent(self, instance: str, since: float) -> list[int]:
         """Take the idle connections that have delivered nothing since a time from their pool."""
--- a/src/orchidwind/promoted/group/pool_driver.py
+++ b/src/orchidwind/promoted/group/pool_driver.py
@@ -19,7 +19,7 @@
 from orchidwind.promoted.group.connection_requests import ConnectionRequests
 from orchidwind.promoted.group.instance_pools import InstancePools
 from orchidwind.promoted.ports import InstanceConnector
-from orchidwind.shared.core.concurrency_window import FIRST_WINDOW, fair_share
+from orchidwind.shared.core.concurrency_window import INITIAL_WINDOW, fair_share
 from orchidwind.shared.core.errors import BackendConnectionLost, BackendRefused
 from orchidwind.shared.core.pool import (
     CloseConnection,
@@ -72,7 +72,7 @@
 
     def _fair_window(self, instance: str) -> float:
         view = self._topology.instances.get(instance)
-        return FIRST_WINDOW if view is None else fair_share(view.entry.slots, self.homes)
+        return INITIAL_WINDOW if view is None else fair_share(view.entry.slots, self.homes)
 
     def _is_near(self, instance: str) -> bool:
         return instance in self._topology.instances and self._topology.is_near(instance)
@@ -132,7 +132,7 @@
         Raises BackendRefused, BackendConnectionLost. If the wait is cancelled, the connection is
         still opened.
         """
-        for effect in self.pools.of(instance).open_one():
+        for effect in self.pools.of(instance).open_if_empty():
             error = await asyncio.shield(self._tasks.start(self._open(effect)))
             if error is not None:
                 raise error
@@ -171,7 +171,7 @@
     def _retry_open(self, pool: InstancePool) -> None:
         """Open a connection though no request waits: requests use other instances meanwhile."""
         if not self.opener.closed and self.pools.known(pool.instance) is pool:
-            self.perform(pool.open_one())
+            self.perform(pool.open_if_empty())
 
     def schedule_tick(self, pool: InstancePool) -> None:
         """Schedule a pool's next decision for its deadline."""
--- a/src/orchidwind/promoted/group/status_calls.py
+++ b/src/orchidwind/promoted/group/status_calls.py
@@ -171,7 +171,7 @@
         """
         if instance not in self.links:
             await self._connections.open_first(instance)
-        return self._connections.borrow_idle(instance)
+        return self._connections.take_any_idle(instance)
 
     async def ask_on_borrowed(self, connection: int, call: StatusCall) -> InstanceStatus:
         """Make a call on a connection taken from the pool, and return it to the pool.
--- a/src/orchidwind/promoted/metrics.py
+++ b/src/orchidwind/promoted/metrics.py
@@ -16,7 +16,7 @@
 
 from orchidwind.promoted.core.commands import CommandKind
 from orchidwind.shared.core.errors import ErrorKind
-from orchidwind.shared.silence import SilentConnection, log_silent
+from orchidwind.shared.silence import SilentConnection, log_silent_connection
 
 # Bounds of the times of requests, seconds. From one round trip to the longest time-out,
 # each about twice the one before.
@@ -221,7 +221,7 @@
 
     def silent(self, found: SilentConnection) -> None:
         """An open connection was found silent: it is logged and counted."""
-        log_silent(found)
+        log_silent_connection(found)
         self._instances.silent.labels(found.kind.value).inc()
 
     def silent_counts(self) -> dict[str, int]:
--- a/src/orchidwind/promoted/peers/peer_codec.py
+++ b/src/orchidwind/promoted/peers/peer_codec.py
@@ -14,7 +14,7 @@
 from orchidwind.promoted.core import peer_messages
 from orchidwind.promoted.core.peer_messages import PeerMessage
 from orchidwind.shared.avro_records import (
-    DECODE_FAULTS,
+    DECODE_EXCEPTIONS,
     DecodeError,
     FrameCutter,
     encode_frame_record,
@@ -78,5 +78,5 @@
     try:
         name, fields = read_record(body, _SCHEMA)
         return msgspec.convert(fields, _TYPES[name], builtin_types=(bytes,))
-    except (msgspec.ValidationError, *DECODE_FAULTS) as error:
+    except (msgspec.ValidationError, *DECODE_EXCEPTIONS) as error:
         raise DecodeError(str(error)) from error
--- a/src/orchidwind/promoted/peers/peer_link.py
+++ b/src/orchidwind/promoted/peers/peer_link.py
@@ -34,7 +34,12 @@
 from orchidwind.promoted.ports import PeerConnection, PeerConnector
 from orchidwind.shared.core.errors import PeerUnavailable
 from orchidwind.shared.logs import log_event
-from orchidwind.shared.silence import ConnectionKind, OnSilent, SilentConnection, log_silent
+from orchidwind.shared.silence import (
+    ConnectionKind,
+    OnSilent,
+    SilentConnection,
+    log_silent_connection,
+)
 
 Answer = CommandAnswer | LockReport | ViewReport | TokenGrant
 
@@ -52,7 +57,7 @@
         own: str,
         member: ProxyMember,
         connector: PeerConnector,
-        on_silent: OnSilent = log_silent,
+        on_silent: OnSilent = log_silent_connection,
     ) -> None:
         self.member = member
         self._on_silent = on_silent
--- a/src/orchidwind/promoted/peers/peer_network.py
+++ b/src/orchidwind/promoted/peers/peer_network.py
@@ -27,7 +27,7 @@
 from orchidwind.promoted.ports import Changes, Listing, MemberStore, PeerConnector
 from orchidwind.shared.core.tenant_connections import NO_TENANT
 from orchidwind.shared.logs import log_event
-from orchidwind.shared.silence import OnSilent, log_silent
+from orchidwind.shared.silence import OnSilent, log_silent_connection
 
 
 class LockReaders(Struct, frozen=True):
@@ -69,7 +69,7 @@
         store: MemberStore,
         groups: GroupFacts,
         on_change: Callable[[], None],
-        on_silent: OnSilent = log_silent,
+        on_silent: OnSilent = log_silent_connection,
     ) -> None:
         self.own = own
         self.own_entry = OwnEntry(own, store)
--- a/src/orchidwind/promoted/peers/peer_streams.py
+++ b/src/orchidwind/promoted/peers/peer_streams.py
@@ -24,7 +24,7 @@
 from orchidwind.promoted.peers.home_ports import LinkWriter
 from orchidwind.promoted.peers.peer_service import PeerService
 from orchidwind.shared.core.errors import PeerUnavailable
-from orchidwind.shared.sockets import client_socket, watchful
+from orchidwind.shared.sockets import client_socket, configure_socket
 
 # The maximum size of one read of a socket, bytes: a TCP window. Longer messages take several reads.
 _READ_BYTES = 65536
@@ -150,7 +150,7 @@
 
     async def handle_stream(self, stream: IOStream, address: tuple[str, int]) -> None:
         """Serve one link until its connection ends."""
-        watchful(stream.socket)
+        configure_socket(stream.socket)
         opened = PeerStream(stream)
         self._streams.add(opened)
         served = self._service.link(LinkWriter(opened.send, opened.drained, opened.close))
--- a/src/orchidwind/promoted/quotas/quota_service.py
+++ b/src/orchidwind/promoted/quotas/quota_service.py
@@ -15,7 +15,7 @@
 
 from orchidwind.promoted.peers.peer_link import PeerLink
 from orchidwind.shared.core.errors import ErrorKind, PeerUnavailable, RequestError
-from orchidwind.shared.core.quota import QuotaKeeper, QuotaRules
+from orchidwind.shared.core.quota import QuotaLimiter, QuotaRules
 from orchidwind.shared.core.tenants import Tenant
 from orchidwind.shared.logs import is_power_of_two, log_event
 from orchidwind.shared.task_set import TaskSet
@@ -76,7 +76,7 @@
     ) -> None:
         """`tenants` are those in force, by name; `lenders` are asked in their order."""
         self.use: dict[str, TenantUse] = {}
-        self._keeper = QuotaKeeper(rules)
+        self._limiter = QuotaLimiter(rules)
         self._tenants = tenants
         self._lenders = lenders
         # When the share was last known to be in force.
@@ -88,15 +88,15 @@
     @property
     def share(self) -> float:
         """This proxy's share of each quota, 0 to 1."""
-        return self._keeper.share
+        return self._limiter.share
 
     def confirmed_by(self, confirmed_at: Callable[[], float]) -> None:
         """From now on this tells when the share was last known to be in force."""
         self._share_confirmed_at = confirmed_at
 
-    def share_is(self, share: float) -> None:
+    def set_share(self, share: float) -> None:
         """This proxy's share, as it was just heard of."""
-        self._keeper.share_is(share, self._loop.time(), self._share_confirmed_at())
+        self._limiter.set_share(share, self._loop.time(), self._share_confirmed_at())
 
     async def pass_operation(self, name: str) -> None:
         """Let one operation of a tenant pass; raises RequestError where its quota is used up."""
@@ -108,7 +108,7 @@
             use.passed += 1
             return
         use.refused += 1
-        retry_after = self._keeper.retry_after(tenant)
+        retry_after = self._limiter.retry_after(tenant)
         if is_power_of_two(use.refused):
             log_event(
                 "quota_exceeded",
@@ -127,13 +127,13 @@
         )
 
     def _take(self, tenant: Tenant) -> bool:
-        return self._keeper.take(tenant, self._loop.time(), self._share_confirmed_at())
+        return self._limiter.take(tenant, self._loop.time(), self._share_confirmed_at())
 
     def give_back(self, name: str) -> None:
         """An operation that passed has not run."""
         tenant = self._tenants().get(name)
         if tenant is not None:
-            self._keeper.give_back(tenant)
+            self._limiter.give_back(tenant)
 
     # --- tokens of other proxies --------------------------------------------------------------
 
@@ -142,7 +142,7 @@
         tenant = self._tenants().get(name)
         if tenant is None:
             return 0.0
-        return self._keeper.lend(tenant, wanted, self._loop.time(), self._share_confirmed_at())
+        return self._limiter.lend(tenant, wanted, self._loop.time(), self._share_confirmed_at())
 
     async def _borrow(self, tenant: Tenant) -> bool:
         """Wait for tokens of other proxies; whether it is worth while to look for one."""
@@ -167,14 +167,14 @@
         await asyncio.sleep(0)  # those that arrived together are counted first
         try:
             for link in self._lenders():
-                missing = self._keeper.missing(tenant, borrowing.waiting, self._loop.time())
+                missing = self._limiter.missing(tenant, borrowing.waiting, self._loop.time())
                 if missing <= _HARDLY_ANY:
                     break
                 lent = await self._ask_one(link, tenant.name, missing)
-                self._keeper.borrow(tenant, lent, self._loop.time())
+                self._limiter.borrow(tenant, lent, self._loop.time())
         finally:
             borrowing.task = None
-        if self._keeper.missing(tenant, 1, self._loop.time()) > _HARDLY_ANY:
+        if self._limiter.missing(tenant, 1, self._loop.time()) > _HARDLY_ANY:
             borrowing.not_before = self._loop.time() + _ASK_AGAIN_SECONDS
 
     async def _ask_one(self, link: PeerLink, tenant: str, wanted: float) -> float:
--- a/src/orchidwind/promoted/quotas/share_keeper.py
+++ b/src/orchidwind/promoted/quotas/share_keeper.py
@@ -82,7 +82,7 @@
         self.held = shares
         if changed:
             self._held_since = self._loop.time()
-            self._service.share_is(shares.share_of(self._name))
+            self._service.set_share(shares.share_of(self._name))
             log_event(
                 "quota_shares",
                 holders=",".join(shares.holders),
--- a/src/orchidwind/promoted/quotas/tenancy.py
+++ b/src/orchidwind/promoted/quotas/tenancy.py
@@ -19,7 +19,7 @@
 from orchidwind.promoted.quotas.share_keeper import ShareKeeper
 from orchidwind.promoted.views.followed_views import ProxyBounds, ProxyViews, Spawn
 from orchidwind.shared.core.tenant_connections import NO_TENANT
-from orchidwind.shared.core.tenants import KeyJudge, TenantTable
+from orchidwind.shared.core.tenants import KeyChecker, TenantTable
 
 
 class Tenancy:
@@ -35,7 +35,7 @@
     ) -> None:
         """`on_known` is called each time that it was read who holds shares of the quotas."""
         self.table = TenantTable(())
-        self._key_judge = KeyJudge.within(bounds.revocation)
+        self._key_checker = KeyChecker.within(bounds.revocation)
         self._network = network
         self._homes = homes
         self._following = False
@@ -59,7 +59,7 @@
         """
         if not configuration.needs_key(database):
             return NO_TENANT
-        return self._key_judge.tenant_of(self.table, key_digest, age).name
+        return self._key_checker.tenant_of(self.table, key_digest, age).name
 
     # --- shares of the quotas -----------------------------------------------------------------
 
--- a/src/orchidwind/promoted/views/collection_watch.py
+++ b/src/orchidwind/promoted/views/collection_watch.py
@@ -28,7 +28,12 @@
 from orchidwind.promoted.views.peer_source import PeerSource, ReportedView
 from orchidwind.shared.core.errors import PlatformError, PlatformVersionGone
 from orchidwind.shared.logs import is_power_of_two
-from orchidwind.shared.silence import ConnectionKind, OnSilent, SilentConnection, log_silent
+from orchidwind.shared.silence import (
+    ConnectionKind,
+    OnSilent,
+    SilentConnection,
+    log_silent_connection,
+)
 
 Item = TypeVar("Item")
 Answer = TypeVar("Answer")
@@ -52,7 +57,7 @@
         times: FollowTimes,
         batch_seconds: float = 0.0,
         peer_source: PeerSource[Item] | None = None,
-        on_silent: OnSilent = log_silent,
+        on_silent: OnSilent = log_silent_connection,
     ) -> None:
         """`batch_seconds`: a delay between a change and the next call, to collect more changes.
 
--- a/src/orchidwind/shared/avro_records.py
+++ b/src/orchidwind/shared/avro_records.py
@@ -20,7 +20,7 @@
 # make this one use, and is above the longest answer that a link carries.
 MAXIMUM_FRAME_BYTES = 80 * 1024 * 1024
 # Exceptions that the Avro library raises for bytes that do not match the schema.
-DECODE_FAULTS = (EOFError, ValueError, IndexError, KeyError, TypeError, OverflowError)
+DECODE_EXCEPTIONS = (EOFError, ValueError, IndexError, KeyError, TypeError, OverflowError)
 
 Fields = dict[str, Any]
 
@@ -53,7 +53,7 @@
 
 
 def read_record(body: bytes, schema: Any) -> tuple[str, Fields]:
-    """Decode a record of a union to its name and fields; raises one of DECODE_FAULTS."""
+    """Decode a record of a union to its name and fields; raises one of DECODE_EXCEPTIONS."""
     record: Any = fastavro.schemaless_reader(
         BytesIO(body), schema, None, return_record_name=True, return_record_name_override=True
     )
--- a/src/orchidwind/shared/core/concurrency_window.py
+++ b/src/orchidwind/shared/core/concurrency_window.py
@@ -22,7 +22,7 @@
 
 # Initial window, in requests, if no fair share is given. Slightly more than the instances of the
 # first users run at once (2 or 3 slots).
-FIRST_WINDOW = 4.0
+INITIAL_WINDOW = 4.0
 # Minimum window. One request must always be allowed, as only an answer makes the window grow again.
 _MIN_WINDOW = 1.0
 # Requests that all proxies together may have in progress for each slot: one that runs and one that
@@ -51,7 +51,7 @@
 class ConcurrencyWindow:
     """The number of requests that may run at once; never less than one."""
 
-    def __init__(self, fair_share: float = FIRST_WINDOW) -> None:
+    def __init__(self, fair_share: float = INITIAL_WINDOW) -> None:
         self._fair_share = self._size = max(fair_share, _MIN_WINDOW)
         self._decreased_at = float("-inf")
 
--- a/src/orchidwind/shared/core/pool.py
+++ b/src/orchidwind/shared/core/pool.py
@@ -44,7 +44,7 @@
 # connection holds a slot of the instance for longer than a request does (12 to 32 ms,
 # docs/DECISIONS.md, "Homes for promoted groups"): if all were opened at once, they would delay the
 # requests that they were opened for.
-MOST_OPENING = 2
+MAX_OPENING = 2
 
 
 class Grant(Struct, frozen=True):
@@ -281,7 +281,7 @@
             surplus -= 1
         return effects
 
-    def borrow_idle(self, now: float) -> int | None:
+    def take_any_idle(self, now: float) -> int | None:
         """Take an idle connection for the proxy's own use; None if there is none."""
         if not self.idle:
             return None
@@ -297,7 +297,7 @@
         self.busy[connection] = now
         return True
 
-    def open_one(self) -> list[OpenConnection]:
+    def open_if_empty(self) -> list[OpenConnection]:
         """Open a connection without a waiting request if the pool has none."""
         return [] if self.size else [self._open(NO_TENANT)]
 
@@ -331,7 +331,7 @@
         )
         tenant = next(lacking, None)
         if tenant == NO_TENANT:
-            return tenant if len(self.opening) < MOST_OPENING else None
+            return tenant if len(self.opening) < MAX_OPENING else None
         return tenant if self._has_room(now, len(self.opening)) else None
 
     @property
--- a/src/orchidwind/shared/core/quota.py
+++ b/src/orchidwind/shared/core/quota.py
@@ -154,7 +154,7 @@
             self._valid_until = valid_until
 
 
-class QuotaKeeper:
+class QuotaLimiter:
     """The token buckets of one proxy; `share` is its share of each tenant's quota, 0 to 1."""
 
     def __init__(self, rules: QuotaRules) -> None:
@@ -169,7 +169,7 @@
         # incarnation of the proxy has been replaced.
         self._start_share = _START_SHARE
 
-    def share_is(self, share: float, now: float, confirmed_at: float) -> None:
+    def set_share(self, share: float, now: float, confirmed_at: float) -> None:
         """Set the share of this proxy and adapt all buckets to it."""
         self._clock.advance(now, confirmed_at)
         if share == self.share:
--- a/src/orchidwind/shared/core/tenants.py
+++ b/src/orchidwind/shared/core/tenants.py
@@ -68,7 +68,7 @@
         return self._holders.get(digest)
 
 
-def tenant_faults(tenants: Iterable[Tenant]) -> Iterator[str]:
+def tenant_errors(tenants: Iterable[Tenant]) -> Iterator[str]:
     """Yield one line for each error in the tenants of a configuration."""
     names: set[str] = set()
     holders: dict[bytes, str] = {}
@@ -86,7 +86,7 @@
                 yield f"tenant {tenant.name}: one of its keys is also held by tenant {other}"
 
 
-class KeyJudge(Struct, frozen=True):
+class KeyChecker(Struct, frozen=True):
     """Checks API keys against a configuration.
 
     `valid_for` is how many seconds a configuration may be used after it was last known to be the
@@ -96,7 +96,7 @@
     valid_for: float | None = None
 
     @classmethod
-    def within(cls, revocation_seconds: float | None) -> KeyJudge:
+    def within(cls, revocation_seconds: float | None) -> KeyChecker:
         """Create a checker with which a revoked key stops working within this time.
 
         None sets no limit.
--- a/src/orchidwind/shared/silence.py
+++ b/src/orchidwind/shared/silence.py
@@ -46,7 +46,7 @@
 OnSilent = Callable[[SilentConnection], None]
 
 
-def log_silent(found: SilentConnection) -> None:
+def log_silent_connection(found: SilentConnection) -> None:
     """Log a silent connection."""
     log_event(
         "connection_silent",
--- a/src/orchidwind/shared/sockets.py
+++ b/src/orchidwind/shared/sockets.py
@@ -21,10 +21,10 @@
 
 def client_socket() -> socket.socket:
     """Create a TCP socket for an outgoing connection, with unreachable peers detected."""
-    return watchful(socket.socket(socket.AF_INET, socket.SOCK_STREAM))
+    return configure_socket(socket.socket(socket.AF_INET, socket.SOCK_STREAM))
 
 
-def watchful(tcp_socket: socket.socket) -> socket.socket:
+def configure_socket(tcp_socket: socket.socket) -> socket.socket:
     """Configure and return a socket.
 
     Small writes are sent at once (no Nagle's algorithm), and the connection ends when the peer is
--- a/tests/promoted/test_connection_logs.py
+++ b/tests/promoted/test_connection_logs.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from orchidwind.commands.explain import read_logs, story
+from orchidwind.commands.explain import explain_request, read_logs
 from orchidwind.platform.promotions import PromotionCall
 from orchidwind.platform.store import ObjectStore
 from orchidwind.promoted.callers.session_executor import SessionExecutor
@@ -192,7 +192,7 @@
     }
     other = [silent("peer_link", "front-2")]
     write_log(front, "front-1", [*other, ("request_failed", failed)])
-    reported = story(read_logs([home, front]), "a1")
+    reported = explain_request(read_logs([home, front]), "a1")
     assert [line.split()[0] for line in reported] == ["before:", "before:", "request:"]
     assert "connection=instance_running" in reported[0]
     assert "connection=peer_link" in reported[1]
@@ -209,6 +209,6 @@
         at = f"2026-01-01T00:00:{second:02}.000000+00:00"
         lines.append(f"at={at} level=INFO node=front-1 {text}\n")
     path.write_text("".join(lines))
-    reported = story(read_logs([path]), "a1")
+    reported = explain_request(read_logs([path]), "a1")
     assert len(reported) == 2
     assert "connection=instance_resting" in reported[0]
--- a/tests/promoted/test_fleet_cost.py
+++ b/tests/promoted/test_fleet_cost.py
@@ -11,7 +11,7 @@
 from orchidwind.promoted.views.followed_views import ProxyBounds
 from orchidwind.promoted.views.peer_views import CONFIGURATION, MEMBERS
 from orchidwind.shared.core.admission import TrafficClass
-from orchidwind.shared.core.pool import MOST_OPENING, Grant, InstancePool, OpenConnection
+from orchidwind.shared.core.pool import MAX_OPENING, Grant, InstancePool, OpenConnection
 from orchidwind_bench.promoted.simulation.callers import PromotedSystem
 from orchidwind_bench.promoted.simulation.store import GROUP
 from orchidwind_bench.promoted.simulation.virtual_time import run_virtual
@@ -125,7 +125,7 @@
 
 def test_requests_that_wait_together_open_few_connections_at_a_time():
     pool, effects = waiting_pool()
-    assert len(effects) == MOST_OPENING
+    assert len(effects) == MAX_OPENING
     opened = pool.opened(effects[0].connection, 0.03)
     assert sum(isinstance(effect, OpenConnection) for effect in opened) == 1
     assert sum(isinstance(effect, Grant) for effect in opened) == 1
--- a/tests/shared/test_api_keys.py
+++ b/tests/shared/test_api_keys.py
@@ -5,7 +5,13 @@
 from hypothesis import strategies as st
 
 from orchidwind.shared.core.errors import ErrorKind, RequestError
-from orchidwind.shared.core.tenants import KeyJudge, Tenant, TenantTable, key_digest, tenant_faults
+from orchidwind.shared.core.tenants import (
+    KeyChecker,
+    Tenant,
+    TenantTable,
+    key_digest,
+    tenant_errors,
+)
 
 TERN = Tenant("tern", (key_digest("key-a"), key_digest("key-b")), 10.0, 5.0)
 HERON = Tenant("heron", (key_digest("key-c"),), 10.0, 5.0)
@@ -19,7 +25,7 @@
 
 
 def test_each_key_of_a_tenant_is_its_own():
-    checker = KeyJudge.within(None)
+    checker = KeyChecker.within(None)
     assert checker.tenant_of(TABLE, key_digest("key-a"), 0.0) is TERN
     assert checker.tenant_of(TABLE, key_digest("key-b"), 99.0) is TERN
     assert checker.tenant_of(TABLE, key_digest("key-c"), 0.0) is HERON
@@ -27,7 +33,7 @@
 
 
 def test_a_configuration_judges_keys_for_a_little_less_than_is_allowed():
-    checker = KeyJudge.within(5.0)
+    checker = KeyChecker.within(5.0)
     assert checker.tenant_of(TABLE, key_digest("key-a"), 4.89) is TERN
     assert refusal(checker, key_digest("key-a"), 4.91) is ErrorKind.CONFIGURATION_TOO_OLD
     assert refusal(checker, key_digest("key-d"), 4.91) is ErrorKind.CONFIGURATION_TOO_OLD
@@ -50,12 +56,12 @@
     ],
 )
 def test_tenants_that_contradict_are_told_with_their_names(tenants, fault):
-    (line,) = tenant_faults(tenants)
+    (line,) = tenant_errors(tenants)
     assert fault in line
 
 
 def test_good_tenants_have_no_faults():
-    assert list(tenant_faults((TERN, HERON))) == []
+    assert list(tenant_errors((TERN, HERON))) == []
 
 
 def test_a_tenant_is_large_with_a_fortieth_of_all_quotas():
--- a/tests/shared/test_concurrency_window.py
+++ b/tests/shared/test_concurrency_window.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from orchidwind.shared.core.admission import Refusal, TrafficClass
-from orchidwind.shared.core.concurrency_window import FIRST_WINDOW, ConcurrencyWindow
+from orchidwind.shared.core.concurrency_window import INITIAL_WINDOW, ConcurrencyWindow
 from orchidwind.shared.core.pool import Grant, InstancePool, OpenConnection
 
 CLASS = TrafficClass("any")
@@ -17,7 +17,7 @@
     window = ConcurrencyWindow()
     window.rejected(1.0)
     window.rejected(1.01)
-    assert window.size == int(FIRST_WINDOW * 0.7), "simultaneous rejections count once"
+    assert window.size == int(INITIAL_WINDOW * 0.7), "simultaneous rejections count once"
     for number in range(20):
         window.rejected(2.0 + number)
     assert window.size == 1
@@ -30,7 +30,7 @@
     window = ConcurrencyWindow()
     for _ in range(100):
         window.answered(1, queueing=False, now=50.0)
-    assert window.size == int(FIRST_WINDOW)
+    assert window.size == int(INITIAL_WINDOW)
 
 
 @given(st.lists(st.tuples(st.booleans(), st.floats(0, 100)), max_size=60))
--- a/tests/shared/test_logs_and_explain.py
+++ b/tests/shared/test_logs_and_explain.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from orchidwind.commands.explain import RequestNotFound, read_logs, story
+from orchidwind.commands.explain import RequestNotFound, explain_request, read_logs
 from orchidwind.platform.settings import load_platform_settings
 from orchidwind.shared.core.errors import SettingsError
 from orchidwind.shared.logs import NonBlockingHandler, configure_logging, log_event
@@ -63,13 +63,13 @@
             log_event("request_failed", request_id="a1", group="g", reason="outcome_unknown")
         finally:
             root.handlers, root.level = before
-    shown = story(read_logs([path]), "a1")
+    shown = explain_request(read_logs([path]), "a1")
     assert len(shown) == 2
     assert shown[0].startswith("  before:")
     assert "event=primary_changed" in shown[0]
     assert "reason=outcome_unknown" in shown[1]
     with pytest.raises(RequestNotFound):
-        story(read_logs([path]), "a2")
+        explain_request(read_logs([path]), "a2")
 
 
 def test_a_commit_is_followed_from_its_id_to_the_change_of_primary_after_it(tmp_path):
@@ -84,14 +84,14 @@
     path.write_text(
         "".join(f'level=INFO event={text} at="{at.format(second)}"\n' for text, second in lines)
     )
-    shown = story(read_logs([path]), "b2")
+    shown = explain_request(read_logs([path]), "b2")
     assert [line.split("event=")[1].split()[0] for line in shown] == [
         "commits_acknowledged",
         "failover_choice",
     ]
     assert "group=g" in shown[1]
     with pytest.raises(RequestNotFound):
-        story(read_logs([path]), "c3")
+        explain_request(read_logs([path]), "c3")
 
 
 def test_platform_settings_are_checked_with_file_key_and_reason(tmp_path):
--- a/tests/shared/test_quota.py
+++ b/tests/shared/test_quota.py
@@ -17,7 +17,7 @@
 from orchidwind.shared.core.quota import (
     BORROWED_VALID_SECONDS,
     SHARE_VALID_SECONDS,
-    QuotaKeeper,
+    QuotaLimiter,
     QuotaRules,
 )
 from orchidwind.shared.core.tenants import Tenant
@@ -44,57 +44,57 @@
     return most
 
 
-def keeper_with(share, now=0.0, rules=RULES):
-    keeper = QuotaKeeper(rules)
-    keeper.share_is(share, now, now)
-    return keeper
+def limiter_with(share, now=0.0, rules=RULES):
+    limiter = QuotaLimiter(rules)
+    limiter.set_share(share, now, now)
+    return limiter
 
 
 @pytest.mark.parametrize("tenant", [SMALL, LARGE])
 def test_a_tenant_that_asks_without_end_gets_its_quota_and_little_more(tenant):
-    keeper = keeper_with(1.0)
+    limiter = limiter_with(1.0)
     passed = []
     for tick in range(3_000):
         now = 10.0 + tick * 0.01
-        passed += [now for _ in range(30) if keeper.take(tenant, now, now)]
+        passed += [now for _ in range(30) if limiter.take(tenant, now, now)]
     assert tenant.rate * 30 <= len(passed) <= tenant.rate * 30 + tenant.burst * 2
     assert most_in_a_window(passed) <= allowed(tenant)
 
 
 def test_a_tenant_within_its_quota_is_never_refused():
-    keeper = keeper_with(1.0)
+    limiter = limiter_with(1.0)
     for second in range(10, 40):
-        assert all(keeper.take(SMALL, second + 0.1, float(second)) for _ in range(6))
+        assert all(limiter.take(SMALL, second + 0.1, float(second)) for _ in range(6))
 
 
 def test_without_news_of_its_share_a_proxy_fills_no_bucket():
     """The share may have been given to another proxy in the meantime."""
-    keeper = keeper_with(1.0, now=100.0)
+    limiter = limiter_with(1.0, now=100.0)
     last_heard = 100.0
     for _ in range(1_000):
-        keeper.take(SMALL, 100.0 + SHARE_VALID_SECONDS, last_heard)
-    assert not keeper.take(SMALL, 100.0 + SHARE_VALID_SECONDS + 30.0, last_heard)
-    assert not keeper.take(SMALL, 200.0, last_heard)
-    assert not keeper.take(SMALL, 200.0, 200.0), (
+        limiter.take(SMALL, 100.0 + SHARE_VALID_SECONDS, last_heard)
+    assert not limiter.take(SMALL, 100.0 + SHARE_VALID_SECONDS + 30.0, last_heard)
+    assert not limiter.take(SMALL, 200.0, last_heard)
+    assert not limiter.take(SMALL, 200.0, 200.0), (
         "time without confirmation is not counted afterwards"
     )
-    assert keeper.take(SMALL, 200.5, 200.5)
+    assert limiter.take(SMALL, 200.5, 200.5)
 
 
 def test_a_proxy_that_starts_anew_has_no_full_bucket():
     """Otherwise a proxy that restarts repeatedly would let a burst pass in each incarnation."""
     begun = [
-        sum(keeper_with(1.0, now=float(life)).take(LARGE, float(life), float(life)) for _ in [0])
+        sum(limiter_with(1.0, now=float(life)).take(LARGE, float(life), float(life)) for _ in [0])
         for life in range(3)
     ]
     assert begun == [1, 1, 1]
-    keeper = keeper_with(1.0, now=5.0)
-    at_once = sum(keeper.take(LARGE, 5.0, 5.0) for _ in range(500))
+    limiter = limiter_with(1.0, now=5.0)
+    at_once = sum(limiter.take(LARGE, 5.0, 5.0) for _ in range(500))
     assert at_once < LARGE.burst / 3
 
 
 def test_a_proxy_without_a_share_passes_what_others_lend_and_only_soon():
-    lender, borrower = keeper_with(1.0), keeper_with(0.0)
+    lender, borrower = limiter_with(1.0), limiter_with(0.0)
     assert not borrower.take(SMALL, 10.0, 10.0)
     borrower.borrow(SMALL, lender.lend(SMALL, 2, 10.0, 10.0), 10.0)
     assert borrower.take(SMALL, 10.0, 10.0)
@@ -103,13 +103,13 @@
 
 def test_what_several_have_in_parts_is_lent_as_one():
     """Otherwise each proxy keeps a fraction of a token of a small quota that cannot be used."""
-    lenders = [keeper_with(1 / 6) for _ in range(5)]
-    borrower = keeper_with(1 / 6)
+    lenders = [limiter_with(1 / 6) for _ in range(5)]
+    borrower = limiter_with(1 / 6)
     now = 10.0
-    for keeper in (*lenders, borrower):
-        while keeper.take(SMALL, now, now):
+    for limiter in (*lenders, borrower):
+        while limiter.take(SMALL, now, now):
             pass
-    held = [1.0 - keeper.missing(SMALL, 1, now) for keeper in (*lenders, borrower)]
+    held = [1.0 - limiter.missing(SMALL, 1, now) for limiter in (*lenders, borrower)]
     assert all(0.0 < part < 1.0 for part in held)
     passed = 0
     for lender in lenders:
@@ -120,21 +120,21 @@
 
 
 def test_a_lower_limit_binds_at_once_and_a_higher_one_gives_no_burst():
-    keeper = keeper_with(1.0)
-    assert keeper.take(LARGE, 10.0, 10.0)
+    limiter = limiter_with(1.0)
+    assert limiter.take(LARGE, 10.0, 10.0)
     lower = Tenant(LARGE.name, (), 10.0, 10.0)
-    taken = sum(keeper.take(lower, 10.0, 10.0) for _ in range(500))
+    taken = sum(limiter.take(lower, 10.0, 10.0) for _ in range(500))
     assert taken <= 10 + RULES.excess(lower)
-    assert not any(keeper.take(LARGE, 10.0, 10.0) for _ in range(5))
+    assert not any(limiter.take(LARGE, 10.0, 10.0) for _ in range(5))
 
 
 def test_what_has_not_run_is_given_back():
-    keeper = keeper_with(1.0)
-    while keeper.take(SMALL, 10.0, 10.0):
+    limiter = limiter_with(1.0)
+    while limiter.take(SMALL, 10.0, 10.0):
         pass
-    keeper.give_back(SMALL)
-    assert keeper.take(SMALL, 10.0, 10.0)
-    assert not keeper.take(SMALL, 10.0, 10.0)
+    limiter.give_back(SMALL)
+    assert limiter.take(SMALL, 10.0, 10.0)
+    assert not limiter.take(SMALL, 10.0, 10.0)
 
 
 # --- shares ---------------------------------------------------------------------------------------
@@ -164,7 +164,7 @@
         self.now = 100.0
         self.history = [(self.now, QuotaShares(NAMES[:2], (), StoreRevision(1)))]
         self.passed = []
-        self.keepers = {}
+        self.limiters = {}
         self.heard = {}
         self.lives = dict.fromkeys(NAMES, 0)
         self.dead_until = dict.fromkeys(NAMES, 0.0)
@@ -172,7 +172,7 @@
             self.restart(name, dead_for=0.0)
 
     def restart(self, name, dead_for):
-        self.keepers[name] = QuotaKeeper(RULES)
+        self.limiters[name] = QuotaLimiter(RULES)
         self.heard[name] = None
         self.dead_until[name] = self.now + dead_for
 
@@ -192,7 +192,7 @@
             return
         since = self.now if before is None or before[1] != shares else before[2]
         self.heard[name] = (as_of, shares, since)
-        self.keepers[name].share_is(shares.share_of(name), self.now, as_of)
+        self.limiters[name].set_share(shares.share_of(name), self.now, as_of)
 
     def change(self, name, wanted):
         """Let a proxy write the next shares, if the store still holds the version it knows."""
@@ -209,13 +209,13 @@
 
     def ask(self, name, operations):
         for _ in range(operations):
-            if self.keepers[name].take(self.tenant, self.now, self.confirmed_at(name)):
+            if self.limiters[name].take(self.tenant, self.now, self.confirmed_at(name)):
                 self.passed.append(self.now)
 
     def lend(self, name, other, wanted):
         at = self.confirmed_at(other)
-        lent = self.keepers[other].lend(self.tenant, wanted, self.now, at)
-        self.keepers[name].borrow(self.tenant, lent, self.now)
+        lent = self.limiters[other].lend(self.tenant, wanted, self.now, at)
+        self.limiters[name].borrow(self.tenant, lent, self.now)
 
     def step(self, event):
         kind, name, other, amount, seconds = event
@@ -280,12 +280,12 @@
     of 20 it was 8.8 where an idle machine took 4.0. With the shortcut of the share clock while the
     share stays confirmed, a decision takes 2.3 on an idle machine.
     """
-    keeper = keeper_with(0.5)
+    limiter = limiter_with(0.5)
     rounds = []
     for turn in range(10):
         began = time.process_time()
         for number in range(10_000):
             now = 10.0 + turn + number / 10_000
-            keeper.take(LARGE, now, now - 1.0)
+            limiter.take(LARGE, now, now - 1.0)
         rounds.append((time.process_time() - began) / 10_000)
     assert min(rounds) <= 5e-6
