--- a/src/orchidwind/platform/instances.py
+++ b/src/orchidwind/platform/instances.py
@@ -16,7 +16,7 @@
 from orchidwind.platform import instance_lines, line_format
 from orchidwind.promoted.core.commands import InstanceMessage, InstanceStatus, Reply, ReplyCode
 from orchidwind.promoted.core.configuration import DirectoryEntry
-from orchidwind.promoted.core.instance_lives import identity_of
+from orchidwind.promoted.core.instance_incarnations import identity_of
 from orchidwind.promoted.group.connection_opener import CONNECTION_LIMIT_MET, OTHER_INSTANCE
 from orchidwind.shared.core.errors import BackendConnectionLost, BackendRefused
 from orchidwind.shared.sockets import client_socket
--- a/src/orchidwind/platform/promotions.py
+++ b/src/orchidwind/platform/promotions.py
@@ -11,7 +11,7 @@
 from orchidwind.platform.http_call import HttpCallFailed, HttpRequest, http_call
 from orchidwind.promoted.core.call_limits import PROMOTION_CALL_SECONDS
 from orchidwind.promoted.core.failover_steps import PromotionAnswer
-from orchidwind.promoted.core.instance_lives import identity_of
+from orchidwind.promoted.core.instance_incarnations import identity_of
 from orchidwind.shared.silence import (
     ConnectionKind,
     OnSilent,
--- a/src/orchidwind/platform/published.py
+++ b/src/orchidwind/platform/published.py
@@ -20,7 +20,7 @@
     PromotedGroupSettings,
     ReadConsistency,
 )
-from orchidwind.promoted.core.instance_lives import NO_START, life_name
+from orchidwind.promoted.core.instance_incarnations import NO_START, incarnation_name
 from orchidwind.shared.core.tenants import Tenant, key_digest, tenant_errors
 from orchidwind.shared.settings import parse_address
 
@@ -116,7 +116,7 @@
         host, port = spec.host_and_port()
         started_at_ms = NO_START if spec.started_at_ms is msgspec.UNSET else spec.started_at_ms
         return DirectoryEntry(
-            instance=life_name(stored.meta.name, started_at_ms),
+            instance=incarnation_name(stored.meta.name, started_at_ms),
             group=spec.group,
             host=host,
             port=port,
--- a/src/orchidwind/promoted/callers/command_runner.py
+++ b/src/orchidwind/promoted/callers/command_runner.py
@@ -95,7 +95,7 @@
             raise RequestError(ErrorKind.CANCELLED, "the caller has gone")
         hold_until = limits.hold_until
         if isinstance(step, WaitForPrimary):
-            return await group.wait_for_primary(hold_until, step.lead_proof, step.commit)
+            return await group.wait_for_primary(hold_until, step.leadership_proof, step.commit)
         if isinstance(step, WaitForReadPlan):
             return await group.wait_for_read_plan(
                 context.database, step.session_floor, context.arrived_at, step.excluded, hold_until
--- a/src/orchidwind/promoted/core/circuit_breaker.py
+++ b/src/orchidwind/promoted/core/circuit_breaker.py
@@ -128,7 +128,7 @@
         return self._refuse_unproven("leadership", now)
 
     def refuse_at_primary(
-        self, lead_proof: bool, oldest_write: float | None, now: float
+        self, leadership_proof: bool, oldest_write: float | None, now: float
     ) -> ImmediateRefusal | None:
         """Returns the refusal of a request that goes to the primary, if any.
 
@@ -138,8 +138,8 @@
         """
         refusal = None
         commits = oldest_write is not None
-        if lead_proof or commits:
-            refusal = self._refuse_unproven("leadership" if lead_proof else "commits", now)
+        if leadership_proof or commits:
+            refusal = self._refuse_unproven("leadership" if leadership_proof else "commits", now)
         if refusal is not None or oldest_write is None:
             return refusal
         self.commit_waited(oldest_write, now)
--- a/src/orchidwind/promoted/core/commit_acknowledgement.py
+++ b/src/orchidwind/promoted/core/commit_acknowledgement.py
@@ -5,12 +5,12 @@
 restart. So a proxy acknowledges a commit only if no change of primary can lose it, which one of
 three rules shows:
 
-1. `verdict_by_lease`: the leadership lease covers this moment and the primary's leadership is
+1. `decide_by_lease`: the leadership lease covers this moment and the primary's leadership is
    proven. A proxy that changes a primary waits until all leases have ended, and only then reads
    which instances may have confirmed commits.
-2. `verdict_by_successor`: a change of primary is over, and the log with which the new primary began
+2. `decide_by_successor`: a change of primary is over, and the log with which the new primary began
    has the commit. If that log lacks it, the commit is lost for good.
-3. `verdict_by_replicas`: as many listed replicas as must receive a commit, at least one, hold it
+3. `decide_by_replicas`: as many listed replicas as must receive a commit, at least one, hold it
    and are not about to leave, and all listed instances (under the lease: those that answer) answer
    that they are neither fenced nor know of a later term. A proxy that fences them afterwards finds
    the commit there.
@@ -22,8 +22,8 @@
 Without these rules the fault schedules of `test_change_of_primary.py` and
 `test_commits_under_faults.py` (tests/promoted) break promises, 4 to 250 times each in one run.
 
-Owns: nothing. Relies on: `lead_proof` for the lease, `log_positions` for the comparison of logs,
-`failover` for the order of lock, fences and leases that makes each of the three rules safe.
+Owns: nothing. Relies on: `leadership_proof` for the lease, `log_positions` for the comparison of
+logs, `failover` for the order of lock, fences and leases that makes each of the three rules safe.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 from msgspec import Struct
 
 from orchidwind.promoted.core.commands import InstanceRole, InstanceStatus
-from orchidwind.promoted.core.lead_proof import LeaseEvidence, lease_proves_lead
+from orchidwind.promoted.core.leadership_proof import LeaseEvidence, lease_proves_leadership
 from orchidwind.promoted.core.log_positions import holds
 from orchidwind.promoted.core.roster import PromotionRecord
 from orchidwind.shared.core.positions import Position
@@ -45,7 +45,7 @@
 
 
 @unique
-class CommitVerdict(Enum):
+class CommitDecision(Enum):
     """What the proxy knows about a commit that the primary has confirmed."""
 
     ACKNOWLEDGE = "acknowledge"
@@ -74,15 +74,15 @@
     synchronous_replicas: int
 
 
-def verdict_by_lease(commit: ConfirmedCommit, lease: LeaseEvidence) -> CommitVerdict:
+def decide_by_lease(commit: ConfirmedCommit, lease: LeaseEvidence) -> CommitDecision:
     """Decide by the leadership lease alone, without any query."""
-    proven = lease_proves_lead(commit.primary, lease)
-    return CommitVerdict.ACKNOWLEDGE if proven else CommitVerdict.NOT_PROVEN
+    proven = lease_proves_leadership(commit.primary, lease)
+    return CommitDecision.ACKNOWLEDGE if proven else CommitDecision.NOT_PROVEN
 
 
-def verdict_by_successor(
+def decide_by_successor(
     commit: ConfirmedCommit, last_promotion: PromotionRecord | None, led_term: int
-) -> CommitVerdict:
+) -> CommitDecision:
     """Decide by the log with which the next primary began.
 
     `last_promotion` is the record in the group's roster. `led_term` is the term in which that
@@ -90,10 +90,10 @@
     """
     last, position = last_promotion, commit.position
     if last is None or last.term <= position.term or last.start.term > position.term:
-        return CommitVerdict.NOT_PROVEN
+        return CommitDecision.NOT_PROVEN
     if led_term < last.term:
-        return CommitVerdict.NOT_PROVEN
-    return CommitVerdict.ACKNOWLEDGE if holds(last.start, position) else CommitVerdict.LEFT_OUT
+        return CommitDecision.NOT_PROVEN
+    return CommitDecision.ACKNOWLEDGE if holds(last.start, position) else CommitDecision.LEFT_OUT
 
 
 def must_answer(
@@ -108,7 +108,7 @@
     return frozenset(listed) - {primary, replaced}
 
 
-def worth_asking(
+def instances_to_ask(
     listed: Iterable[str],
     primary: str,
     required: frozenset[str],
@@ -124,19 +124,19 @@
     return frozenset(listed) - {primary} - passed_over
 
 
-def verdict_by_replicas(
+def decide_by_replicas(
     commit: ConfirmedCommit, lease: LeaseEvidence, replicas: ReplicaEvidence
-) -> CommitVerdict:
+) -> CommitDecision:
     """Decide by a round of status queries that began after the commit was confirmed."""
     if any(status.newest_term > commit.position.term for status in replicas.statuses):
-        return CommitVerdict.NOT_PROVEN
+        return CommitDecision.NOT_PROVEN
     if not lease.covers and _required_answer_missing(commit, replicas):
-        return CommitVerdict.NOT_PROVEN
+        return CommitDecision.NOT_PROVEN
     if lease.successor_may_lead:
-        return CommitVerdict.NOT_PROVEN
+        return CommitDecision.NOT_PROVEN
     holding = [status for status in replicas.statuses if _holds_and_stays(status, commit, replicas)]
     enough = len(holding) >= max(replicas.synchronous_replicas, 1)
-    return CommitVerdict.ACKNOWLEDGE if enough else CommitVerdict.NOT_PROVEN
+    return CommitDecision.ACKNOWLEDGE if enough else CommitDecision.NOT_PROVEN
 
 
 def _required_answer_missing(commit: ConfirmedCommit, replicas: ReplicaEvidence) -> bool:
--- a/src/orchidwind/promoted/core/configuration.py
+++ b/src/orchidwind/promoted/core/configuration.py
@@ -77,8 +77,8 @@
 class DirectoryEntry(Struct, frozen=True):
     """The entry of one instance in the directory.
 
-    `instance` identifies this incarnation of the instance (`instance_lives`). `revision` is the
-    revision of the entry's last change.
+    `instance` identifies this incarnation of the instance (`instance_incarnations`). `revision` is
+    the revision of the entry's last change.
     """
 
     instance: str
--- a/src/orchidwind/promoted/core/confirming_instances.py
+++ b/src/orchidwind/promoted/core/confirming_instances.py
@@ -106,12 +106,12 @@
 
     # --- instances that are dropped -----------------------------------------------------------
 
-    def some_due(self, now: float) -> bool:
+    def any_expired(self, now: float) -> bool:
         """Whether an instance left so long ago that it may be dropped once others hold its log."""
         gone = [view.gone_at for view in self._instances.values() if not view.listed]
         return any(now - at > MAY_CONFIRM_SECONDS for at in gone)
 
-    def drop_old(self, now: float, settings: PromotedGroupSettings) -> list[str]:
+    def drop_expired(self, now: float, settings: PromotedGroupSettings) -> list[str]:
         """Drop instances that left long ago and whose log others hold; returns their names."""
         old = [
             name
--- a/src/orchidwind/promoted/core/failover.py
+++ b/src/orchidwind/promoted/core/failover.py
@@ -15,10 +15,10 @@
 3. The other members are fenced with a term above every known one: they receive nothing more from an
    old primary that does not answer.
 4. The proxy waits until all leadership leases have expired or were confirmed to be dropped
-   (`lead_lease`). From then on a proxy acknowledges a commit only if enough listed replicas hold it
-   and all listed instances answer that they are not fenced. So a commit that is confirmed by an
-   instance that is not counted here (it joined, lost its fence in a restart, or was unfenced by a
-   late call) is acknowledged by no proxy that sees one of the fences.
+   (`leadership_lease`). From then on a proxy acknowledges a commit only if enough listed replicas
+   hold it and all listed instances answer that they are not fenced. So a commit that is confirmed
+   by an instance that is not counted here (it joined, lost its fence in a restart, or was unfenced
+   by a late call) is acknowledged by no proxy that sees one of the fences.
 5. Without a demoted primary's log the fenced members are counted. An acknowledged commit is on its
    primary and `s` other instances, so among all members but `s` at least one has it, and the
    instance with the longest log becomes primary. This holds only if every instance that has
@@ -109,7 +109,7 @@
     Wait,
 )
 from orchidwind.promoted.core.instance_silence import URGENT_STATUS_SECONDS
-from orchidwind.promoted.core.lead_lease import REVOCATION_WAIT_SECONDS
+from orchidwind.promoted.core.leadership_lease import REVOCATION_WAIT_SECONDS
 from orchidwind.promoted.core.promotion_lock import CALL_MARGIN_SECONDS, HOLD_SECONDS
 
 # Seconds between two attempts to find a candidate; several round trips.
--- a/src/orchidwind/promoted/core/flow_parts.py
+++ b/src/orchidwind/promoted/core/flow_parts.py
@@ -145,7 +145,7 @@
     if proof_of_term:
         if result.led_at is None:
             raise ProofMissing("no replica confirms that the primary still leads")
-        context.group.lead_proven(result.led_at, replies[-1].position)
+        context.group.leadership_proven(result.led_at, replies[-1].position)
     return replies[-1]
 
 
@@ -196,7 +196,7 @@
     """
     while True:
         yield Pause(RETRY_PAUSE_SECONDS)
-        primary = yield WaitForPrimary(lead_proof=True)
+        primary = yield WaitForPrimary(leadership_proof=True)
         assert isinstance(primary, PrimaryView)
         context.note(primary.instance, f"term={primary.term}:lead_not_proven")
         if (yield WaitForProof(primary.term)):
@@ -228,11 +228,11 @@
 
 
 def primary_connection(
-    lead_proof: bool,
+    leadership_proof: bool,
 ) -> Generator[Step, StepResult, tuple[PrimaryView, int]]:
     """Waits for a primary that confirms commits; returns it and a connection to it."""
     while True:
-        primary = yield WaitForPrimary(lead_proof=lead_proof, commit=True)
+        primary = yield WaitForPrimary(leadership_proof=leadership_proof, commit=True)
         assert isinstance(primary, PrimaryView)
         try:
             connection = yield WaitForConnection(primary.instance)
--- a/src/orchidwind/promoted/core/flows.py
+++ b/src/orchidwind/promoted/core/flows.py
@@ -80,7 +80,7 @@
 def _single_write(context: CommandContext) -> Flow:
     """Runs a write outside of a transaction; it is sent again only if it surely did not run."""
     while True:
-        primary, connection = yield from primary_connection(lead_proof=False)
+        primary, connection = yield from primary_connection(leadership_proof=False)
         messages = tuple(statement_messages(context, connection))
         context.sent_write = True
         context.sent_to = primary.instance
--- a/src/orchidwind/promoted/core/freshness.py
+++ b/src/orchidwind/promoted/core/freshness.py
@@ -73,8 +73,8 @@
     asked, once the view has this age; None: never. `read_at_age`: the age at which the store is
     read, whatever other answers are pending; None: never. `hedge_after`: the time after which a
     read without an answer is repeated in parallel. `longest_pause`: the longest pause between two
-    failed calls; `relying_pause`: the same for a proxy that relies on others. `whole_wait`: how
-    long another proxy has to send large content.
+    failed calls; `relying_pause`: the same for a proxy that relies on others. `large_content_wait`:
+    how long another proxy has to send large content.
     """
 
     bound: float | None
@@ -86,7 +86,7 @@
     hedge_after: float
     longest_pause: float
     relying_pause: float
-    whole_wait: float
+    large_content_wait: float
 
     @classmethod
     def within(cls, bound: float, watched_by_all: bool = True) -> FollowTimes:
@@ -105,11 +105,11 @@
             hedge_after=bound * _HEDGE_SHARE,
             longest_pause=bound * _PAUSE_SHARE,
             relying_pause=bound * _RELYING_PAUSE_SHARE,
-            whole_wait=bound * _WHOLE_SHARE,
+            large_content_wait=bound * _WHOLE_SHARE,
         )
 
     @classmethod
-    def unhurried(cls, watch_wait: float) -> FollowTimes:
+    def unbounded(cls, watch_wait: float) -> FollowTimes:
         """Return the times for a view whose age breaks no promise: an old view only costs time."""
         return cls(
             bound=None,
@@ -121,7 +121,7 @@
             hedge_after=_UNBOUNDED_HEDGE_SECONDS,
             longest_pause=_UNBOUNDED_PAUSE_SECONDS,
             relying_pause=_UNBOUNDED_PAUSE_SECONDS,
-            whole_wait=_UNBOUNDED_WHOLE_SECONDS,
+            large_content_wait=_UNBOUNDED_WHOLE_SECONDS,
         )
 
 
--- a/src/orchidwind/promoted/core/group_state.py
+++ b/src/orchidwind/promoted/core/group_state.py
@@ -43,17 +43,17 @@
         self.topology = GroupTopology(settings, zone, entry_outlives)
         self.now = now
         self._on_change = on_change
-        self._carried: dict[int, _ConnectionState] = {}
+        self._connection_states: dict[int, _ConnectionState] = {}
 
     # --- server connections -------------------------------------------------------------------
 
     def connection_opened(self, connection: int) -> None:
         """Note a new server connection, which has no settings or prepared statements yet."""
-        self._carried[connection] = _ConnectionState()
+        self._connection_states[connection] = _ConnectionState()
 
     def connection_closed(self, connection: int) -> None:
         """Note that a server connection is closed."""
-        self._carried.pop(connection, None)
+        self._connection_states.pop(connection, None)
 
     def settings_messages(
         self, connection: int, wanted: Mapping[str, str]
@@ -62,7 +62,7 @@
 
         A connection that has ended counts as one without settings.
         """
-        state = self._carried.get(connection) or _ConnectionState()
+        state = self._connection_states.get(connection) or _ConnectionState()
         messages = []
         held: Mapping[str, str] = state.settings
         if not held.keys() <= wanted.keys():
@@ -77,7 +77,7 @@
         self, connection: int, prepared: PreparedStatement, after_reset: bool
     ) -> list[InstanceMessage]:
         """Return the messages that prepare a statement on a connection, none if it is prepared."""
-        state = self._carried.get(connection)
+        state = self._connection_states.get(connection)
         known = state is not None and prepared.shared_name in state.prepared
         if known and not after_reset:
             return []
@@ -86,7 +86,7 @@
 
     def note_messages(self, connection: int, messages: tuple[InstanceMessage, ...]) -> None:
         """Note that these messages were answered on a connection."""
-        state = self._carried.get(connection)
+        state = self._connection_states.get(connection)
         if state is None:
             return
         for message in messages:
@@ -120,6 +120,6 @@
         """
         self.topology.floors.prove(sent_at, position)
 
-    def lead_proven(self, led_at: float, position: Position | None) -> None:
+    def leadership_proven(self, led_at: float, position: Position | None) -> None:
         """Note a position from the primary's answer; it was proven to lead at the time `led_at`."""
         self.topology.floors.prove(led_at, position)
--- a/src/orchidwind/promoted/core/instance_lives.py
+++ b/src/orchidwind/promoted/core/instance_incarnations.py
@@ -20,7 +20,7 @@
 NO_START = 0
 
 
-def life_name(identity: str, started_at_ms: int) -> str:
+def incarnation_name(identity: str, started_at_ms: int) -> str:
     """Return the name of one incarnation."""
     return f"{identity}{_SEPARATOR}{started_at_ms}" if started_at_ms != NO_START else identity
 
--- a/src/orchidwind/promoted/core/instance_silence.py
+++ b/src/orchidwind/promoted/core/instance_silence.py
@@ -105,14 +105,14 @@
     return OverdueCheck(overdue=False, again_in=max(due_in, _SHORTEST_CHECK_PAUSE_SECONDS))
 
 
-def status_time_limit(ever_answered: bool, unreachable: bool, hurried: bool) -> float:
+def status_time_limit(ever_answered: bool, unreachable: bool, urgent: bool) -> float:
     """Return how many seconds an instance has for a status or control call.
 
-    `hurried`: a change of primary waits for the answer.
+    `urgent`: a change of primary waits for the answer.
     """
     if not ever_answered:
         return FIRST_STATUS_SECONDS
-    return URGENT_STATUS_SECONDS if hurried and unreachable else STATUS_SECONDS
+    return URGENT_STATUS_SECONDS if urgent and unreachable else STATUS_SECONDS
 
 
 def rest_probe_before(now: float) -> float:
--- a/src/orchidwind/promoted/core/lead_lease.py
+++ b/src/orchidwind/promoted/core/leadership_lease.py
@@ -79,7 +79,7 @@
         return cls(asked_at - age, revision, free)
 
 
-class LeadLease:
+class LeadershipLease:
     """The leadership lease of one proxy. Times are in seconds of its steady clock.
 
     A reading counts only if it was sent after the proxy was registered: a proxy that has taken the
@@ -168,7 +168,7 @@
         self._covered_until = float("-inf")
 
 
-def renewal_due_in(lease: LeadLease, now: float) -> float:
+def renewal_due_in(lease: LeadershipLease, now: float) -> float:
     """Return the seconds until the next reading of the lock, while requests need the lease."""
     if lease.free_revision is None:
         return _WITHOUT_LEASE_SECONDS
--- a/src/orchidwind/promoted/core/proven_floors.py
+++ b/src/orchidwind/promoted/core/proven_floors.py
@@ -4,7 +4,7 @@
 before the bound. A *floor* is the lowest position that such a log must reach. A floor is *proven*
 for a time if the primary reported it at or after that time, and no later primary is known to have
 begun by then: either a commit was acknowledged, which needs a replica that still follows that
-primary, or `lead_proof` shows it.
+primary, or `leadership_proof` shows it.
 
 Owns: samples of the end of the primary's log, and when its leadership was last proven. Relies on:
 callers that add only proven positions. Times are in seconds of the steady clock.
--- a/src/orchidwind/promoted/core/steps.py
+++ b/src/orchidwind/promoted/core/steps.py
@@ -19,11 +19,11 @@
 class WaitForPrimary(Struct, frozen=True):
     """Wait for a primary; the result is a PrimaryView.
 
-    `lead_proof`: its leadership must be proven. `commit`: it must confirm commits. If this is known
-    to fail, the step fails at once.
+    `leadership_proof`: its leadership must be proven. `commit`: it must confirm commits. If this is
+    known to fail, the step fails at once.
     """
 
-    lead_proof: bool = False
+    leadership_proof: bool = False
     commit: bool = False
 
 
--- a/src/orchidwind/promoted/core/topology.py
+++ b/src/orchidwind/promoted/core/topology.py
@@ -86,7 +86,7 @@
             view.removal_unseen = removal_unseen
             view.gone_at = now
 
-    def life_ended(self, instance: str, now: float) -> None:
+    def incarnation_ended(self, instance: str, now: float) -> None:
         """Note that an instance was restarted as a new incarnation, so that this one's log is gone.
 
         The old incarnation counts as an instance that left and took its log with it. It is sent no
--- a/src/orchidwind/promoted/core/transaction_flows.py
+++ b/src/orchidwind/promoted/core/transaction_flows.py
@@ -146,7 +146,7 @@
         if read_only:
             plan, connection = yield from read_connection(context)
         else:
-            primary, connection = yield from primary_connection(lead_proof=True)
+            primary, connection = yield from primary_connection(leadership_proof=True)
             plan = ReadPlan(primary.instance, None, primary.term)
         messages = _begin_messages(context, connection, plan, read_only)
         reply = yield from exchange_by_plan(
--- a/src/orchidwind/promoted/group/commit_guard.py
+++ b/src/orchidwind/promoted/group/commit_guard.py
@@ -18,18 +18,18 @@
 from orchidwind.promoted.core.commands import InstanceStatus
 from orchidwind.promoted.core.commit_acknowledgement import (
     PROOF_RETRY_SECONDS,
-    CommitVerdict,
+    CommitDecision,
     ConfirmedCommit,
     ReplicaEvidence,
+    decide_by_lease,
+    decide_by_replicas,
+    decide_by_successor,
+    instances_to_ask,
     must_answer,
-    verdict_by_lease,
-    verdict_by_replicas,
-    verdict_by_successor,
-    worth_asking,
 )
-from orchidwind.promoted.core.lead_proof import LeaseEvidence
+from orchidwind.promoted.core.leadership_proof import LeaseEvidence
 from orchidwind.promoted.core.topology import GroupTopology
-from orchidwind.promoted.group.lead_prover import AskStatus, LeadProver
+from orchidwind.promoted.group.leadership_prover import AskStatus, LeadershipProver
 from orchidwind.promoted.group.shared_query import SharedQuery
 
 
@@ -46,7 +46,7 @@
     def __init__(
         self,
         topology: GroupTopology,
-        prover: LeadProver,
+        prover: LeadershipProver,
         ask: AskStatus,
     ) -> None:
         self._topology = topology
@@ -57,7 +57,7 @@
 
     def lease_allows_acknowledgement(self, commit: ConfirmedCommit) -> bool:
         """Whether the leadership lease alone permits acknowledging a commit now."""
-        return self._decide_by_lease(commit) is CommitVerdict.ACKNOWLEDGE
+        return self._decide_by_lease(commit) is CommitDecision.ACKNOWLEDGE
 
     async def may_acknowledge(
         self, commit: ConfirmedCommit, on_unproven: Callable[[], None]
@@ -69,36 +69,36 @@
         """
         while True:
             decision = self._decide_without_asking(commit)
-            if decision is CommitVerdict.NOT_PROVEN:
+            if decision is CommitDecision.NOT_PROVEN:
                 decision = await self._decide_by_replicas(commit)
-            if decision is not CommitVerdict.NOT_PROVEN:
-                return decision is CommitVerdict.ACKNOWLEDGE
+            if decision is not CommitDecision.NOT_PROVEN:
+                return decision is CommitDecision.ACKNOWLEDGE
             on_unproven()
             await asyncio.sleep(PROOF_RETRY_SECONDS)
 
-    def _decide_by_lease(self, commit: ConfirmedCommit) -> CommitVerdict:
+    def _decide_by_lease(self, commit: ConfirmedCommit) -> CommitDecision:
         self._prover.request_lease()
         term = self._topology.primary_term(commit.primary)
         lease = self._prover.evidence(commit.primary, term, self._loop.time())
-        return verdict_by_lease(commit, lease)
+        return decide_by_lease(commit, lease)
 
-    def _decide_without_asking(self, commit: ConfirmedCommit) -> CommitVerdict:
+    def _decide_without_asking(self, commit: ConfirmedCommit) -> CommitDecision:
         decision = self._decide_by_lease(commit)
-        if decision is not CommitVerdict.NOT_PROVEN:
+        if decision is not CommitDecision.NOT_PROVEN:
             return decision
         last = self._topology.last_promotion
         led_term = self._topology.primary_term(last.instance) if last is not None else 0
-        return verdict_by_successor(commit, last, led_term)
+        return decide_by_successor(commit, last, led_term)
 
-    async def _decide_by_replicas(self, commit: ConfirmedCommit) -> CommitVerdict:
+    async def _decide_by_replicas(self, commit: ConfirmedCommit) -> CommitDecision:
         lock_revision = self._prover.lock_revision
         query = self._round.join()
         await asyncio.wait({query})
         if query.cancelled():  # the group is being closed
-            return CommitVerdict.NOT_PROVEN
+            return CommitDecision.NOT_PROVEN
         lease = self._lease_evidence(commit)
-        decision = verdict_by_replicas(commit, lease, self._replica_evidence(query.result()))
-        if decision is CommitVerdict.ACKNOWLEDGE:
+        decision = decide_by_replicas(commit, lease, self._replica_evidence(query.result()))
+        if decision is CommitDecision.ACKNOWLEDGE:
             self._prover.note_proven(commit.primary, lock_revision)
         return decision
 
@@ -124,7 +124,7 @@
         unreachable = frozenset(
             name for name, view in views.items() if view.unreachable_since is not None
         )
-        asked = worth_asking(
+        asked = instances_to_ask(
             views, primary_name, required, unreachable, self._prover.lease_covers_now()
         )
         answers = await asyncio.gather(*(self._ask(name) for name in sorted(asked)))
--- a/src/orchidwind/promoted/group/exchanges.py
+++ b/src/orchidwind/promoted/group/exchanges.py
@@ -20,7 +20,7 @@
 from orchidwind.promoted.group.connections import GroupConnections
 from orchidwind.promoted.group.group_breakers import GroupBreakers
 from orchidwind.promoted.group.held_commits import HeldCommits
-from orchidwind.promoted.group.lead_prover import LeadProver, StatusTask
+from orchidwind.promoted.group.leadership_prover import LeadershipProver, StatusTask
 from orchidwind.promoted.group.outstanding_writes import OutstandingWrites
 from orchidwind.promoted.group.overdue_answers import OverdueAnswers
 from orchidwind.promoted.metrics import ProxyMetrics
@@ -38,7 +38,7 @@
     connections: GroupConnections
     writes: OutstandingWrites
     overdue: OverdueAnswers
-    prover: LeadProver
+    prover: LeadershipProver
     commits: HeldCommits
     breakers: GroupBreakers
     metrics: ProxyMetrics
--- a/src/orchidwind/promoted/group/group_breakers.py
+++ b/src/orchidwind/promoted/group/group_breakers.py
@@ -38,13 +38,13 @@
         """Check a read that is sent to the primary and needs a proof of its leadership."""
         self._raise_refusal(self._breakers.refuse_unproven_read(self._loop.time()))
 
-    def check_at_primary(self, lead_proof: bool, oldest_write: float | None) -> None:
+    def check_at_primary(self, leadership_proof: bool, oldest_write: float | None) -> None:
         """Check a request to the primary that depends on a proof of leadership or on a commit.
 
         `oldest_write` is set for a commit: the seconds that the oldest write there has waited.
         """
         now = self._loop.time()
-        self._raise_refusal(self._breakers.refuse_at_primary(lead_proof, oldest_write, now))
+        self._raise_refusal(self._breakers.refuse_at_primary(leadership_proof, oldest_write, now))
 
     def _raise_refusal(self, refusal: ImmediateRefusal | None) -> None:
         if refusal is None:
--- a/src/orchidwind/promoted/group/group_service.py
+++ b/src/orchidwind/promoted/group/group_service.py
@@ -40,7 +40,7 @@
 from orchidwind.promoted.group.group_breakers import GroupBreakers
 from orchidwind.promoted.group.held_commits import HeldCommits
 from orchidwind.promoted.group.instance_pools import ConnectionShares
-from orchidwind.promoted.group.lead_prover import LeadProver
+from orchidwind.promoted.group.leadership_prover import LeadershipProver
 from orchidwind.promoted.group.lease_keeper import LeaseKeeper
 from orchidwind.promoted.group.outstanding_writes import OutstandingWrites
 from orchidwind.promoted.group.overdue_answers import OverdueAnswers
@@ -124,7 +124,7 @@
 
     def _create_exchange_components(self) -> None:
         leases = self._environment.leases
-        self._prover = LeadProver(self.topology, leases, self.ask_status)
+        self._prover = LeadershipProver(self.topology, leases, self.ask_status)
         self._guard = CommitGuard(self.topology, self._prover, self.ask_status)
         commits = HeldCommits(self.topology, self._guard, leases, self._breakers)
         self._exchanges = Exchanges(
@@ -187,24 +187,24 @@
         self._waiting.wake()
         self._on_wake()
 
-    def life_ended(self, instance: str, next_life: str) -> None:
+    def incarnation_ended(self, instance: str, next_life: str) -> None:
         """Drop connections to an instance that restarted as a new incarnation.
 
         Connections under the old incarnation's name may lead to the new one.
         """
-        self.view_changes.life_ended(instance, next_life)
+        self.view_changes.incarnation_ended(instance, next_life)
         self.status_calls.close_link(instance)
         self.connections.drop_idle(instance)
 
     async def forget_old(self) -> None:
         """Forget instances that left long ago, provided that others hold their logs."""
-        if self.supervised and self.topology.confirming.some_due(self._loop.time()):
+        if self.supervised and self.topology.confirming.any_expired(self._loop.time()):
             # Ask the primary first: whatever its log holds then, the others must report later.
             views = self.topology.instances.items()
             listed = [name for name, view in views if view.listed]
             for name in sorted(listed, key=lambda name: not self.topology.primary_term(name)):
                 await self.ask_status(name)
-        for instance in self.topology.confirming.drop_old(self._loop.time(), self.settings):
+        for instance in self.topology.confirming.drop_expired(self._loop.time(), self.settings):
             self._forget(instance)
 
     def _forget(self, instance: str) -> None:
@@ -233,14 +233,14 @@
         self._on_wake()
 
     async def wait_for_primary(
-        self, deadline: float, lead_proof: bool, commit: bool
+        self, deadline: float, leadership_proof: bool, commit: bool
     ) -> PrimaryView:
         """Wait for a primary. Raises RequestError, at once if a circuit breaker is open.
 
-        `lead_proof` and `commit` say whether the request depends on a proof of leadership and on a
-        commit.
+        `leadership_proof` and `commit` say whether the request depends on a proof of leadership and
+        on a commit.
         """
-        self._breakers.check_at_primary(lead_proof, self.oldest_write() if commit else None)
+        self._breakers.check_at_primary(leadership_proof, self.oldest_write() if commit else None)
         return await self._waiting.wait_for(
             lambda: self.topology.primary(self._loop.time()), deadline, ErrorKind.NO_PRIMARY
         )
--- a/src/orchidwind/promoted/group/lead_prover.py
+++ b/src/orchidwind/promoted/group/leadership_prover.py
@@ -1,7 +1,7 @@
 """Proves that a group's known primary still leads: by leadership lease or by asking a replica.
 
-The rules are in `core/lead_proof.py`. This module gathers their inputs for one group and sends the
-status queries.
+The rules are in `core/leadership_proof.py`. This module gathers their inputs for one group and
+sends the status queries.
 
 It owns the pending status query and the last proof of leadership. It depends on the proxy's lease
 keeper, the group's topology, and a status call that returns in bounded time, None if there is no
@@ -14,10 +14,10 @@
 from collections.abc import Awaitable, Callable
 
 from orchidwind.promoted.core.commands import InstanceStatus
-from orchidwind.promoted.core.lead_proof import (
+from orchidwind.promoted.core.leadership_proof import (
     LeaseEvidence,
-    ProvenLead,
-    lease_proves_lead,
+    ProvenLeadership,
+    lease_proves_leadership,
     shows_no_later_term,
 )
 from orchidwind.promoted.core.store_revision import StoreRevision
@@ -29,7 +29,7 @@
 StatusTask = asyncio.Task[InstanceStatus | None]
 
 
-class LeadProver:
+class LeadershipProver:
     """Proves leadership for requests; they share the status queries sent after their arrival."""
 
     def __init__(self, topology: GroupTopology, leases: LeaseKeeper, ask: AskStatus) -> None:
@@ -38,13 +38,13 @@
         self._ask = ask
         self._loop = asyncio.get_running_loop()
         self._query: SharedQuery[InstanceStatus | None] = SharedQuery(self._query_replica)
-        self._proven: ProvenLead | None = None
+        self._proven: ProvenLeadership | None = None
 
     def lease_proves(self, instance: str, arrived_at: float) -> bool:
         """Whether the leadership lease alone proves leadership for a request that arrived then."""
         self._leases.request_renewal()
         term = self._topology.primary_term(instance)
-        return lease_proves_lead(instance, self.evidence(instance, term, arrived_at))
+        return lease_proves_leadership(instance, self.evidence(instance, term, arrived_at))
 
     def evidence(self, instance: str, term: int, at: float) -> LeaseEvidence:
         """The lease's evidence at a time for an instance that was primary in a term."""
@@ -67,7 +67,7 @@
     def note_proven(self, instance: str, lock_revision: StoreRevision | None) -> None:
         """Record a proof of leadership by a query sent while the lock had this revision."""
         if lock_revision is not None:
-            self._proven = ProvenLead(instance, lock_revision)
+            self._proven = ProvenLeadership(instance, lock_revision)
 
     def request_lease(self) -> None:
         """Acquire or renew the lease for a commit that was sent, before its answer arrives."""
--- a/src/orchidwind/promoted/group/lease_keeper.py
+++ b/src/orchidwind/promoted/group/lease_keeper.py
@@ -1,9 +1,9 @@
 """Maintains this proxy's leadership lease, and awaits the other proxies' confirmations.
 
-`core/lead_lease.py` defines how long a lease is valid. The keeper reads the promotion lock while
-requests need the lease, drops the lease when another proxy takes the lock, and confirms the drop in
-the registry in the store. Before a promotion, the promoting proxy waits here until all other
-proxies have confirmed, or until all leases have expired.
+`core/leadership_lease.py` defines how long a lease is valid. The keeper reads the promotion lock
+while requests need the lease, drops the lease when another proxy takes the lock, and confirms the
+drop in the registry in the store. Before a promotion, the promoting proxy waits here until all
+other proxies have confirmed, or until all leases have expired.
 
 The keeper owns the lease, this proxy's registration, and the log position up to which this proxy
 acknowledged commits of each group. It depends on `lock_readings`, on a watch that calls `listed`
@@ -19,10 +19,10 @@
 from msgspec.structs import replace
 
 from orchidwind.promoted.core.failover_steps import AcknowledgedCommits
-from orchidwind.promoted.core.lead_lease import (
+from orchidwind.promoted.core.leadership_lease import (
     CONFIRMATIONS_INTERVAL_SECONDS,
     REVOCATION_WAIT_SECONDS,
-    LeadLease,
+    LeadershipLease,
     renewal_due_in,
 )
 from orchidwind.promoted.core.peer_messages import LockReport
@@ -83,7 +83,7 @@
         self._readings = LockReadings(lock_store, readers, store_era, lock.create_free)
         store_era.on_return(self._store_came_back)
         self._released = asyncio.Event()
-        self.lease = LeadLease()
+        self.lease = LeadershipLease()
         self.holder = ""
         self._held_since = 0.0
         self._node = node
--- a/src/orchidwind/promoted/group/lock_readings.py
+++ b/src/orchidwind/promoted/group/lock_readings.py
@@ -13,7 +13,7 @@
 import asyncio
 from collections.abc import Awaitable, Callable, Sequence
 
-from orchidwind.promoted.core.lead_lease import (
+from orchidwind.promoted.core.leadership_lease import (
     LONGEST_RELAYED_AGE_SECONDS,
     RELAY_CALL_SECONDS,
     LockReading,
--- a/src/orchidwind/promoted/group/view_changes.py
+++ b/src/orchidwind/promoted/group/view_changes.py
@@ -64,9 +64,9 @@
         )
         self._on_change()
 
-    def life_ended(self, instance: str, next_life: str) -> None:
+    def incarnation_ended(self, instance: str, next_life: str) -> None:
         """Apply that an instance restarted as a new incarnation without its earlier log."""
-        self._topology.life_ended(instance, self._loop.time())
+        self._topology.incarnation_ended(instance, self._loop.time())
         log_event(
             "instance_started_anew",
             level=logging.WARNING,
--- a/src/orchidwind/promoted/instance_directory.py
+++ b/src/orchidwind/promoted/instance_directory.py
@@ -2,7 +2,8 @@
 
 For: `proxy_runtime`; it is the follower of the directory's watch. Owns the entries and the newest
 life of each instance, and passes each change on to the group that it belongs to. An entry stands
-under the instance's identity, and what is kept here under the name of a life (`instance_lives`).
+under the instance's identity, and what is kept here under the name of a life
+(`instance_incarnations`).
 """
 
 from __future__ import annotations
@@ -10,7 +11,7 @@
 from collections.abc import Callable, Mapping
 
 from orchidwind.promoted.core.configuration import DirectoryEntry
-from orchidwind.promoted.core.instance_lives import identity_of, start_of
+from orchidwind.promoted.core.instance_incarnations import identity_of, start_of
 from orchidwind.promoted.group.group_service import GroupService
 from orchidwind.promoted.ports import Changes, Listing
 
@@ -76,7 +77,7 @@
         self.entries.pop(before, None)
         for group in self._groups.values():
             if before in group.topology.instances:
-                group.life_ended(before, entry.instance)
+                group.incarnation_ended(before, entry.instance)
 
     def _entry_gone(self, instance: str, removal_unseen: bool) -> None:
         """An instance is no longer listed; `removal_unseen`: it may come back."""
--- a/src/orchidwind/promoted/views/followed_views.py
+++ b/src/orchidwind/promoted/views/followed_views.py
@@ -179,7 +179,7 @@
 
     def follow_coordination(self, leases: LeaseKeeper, rosters: RosterKeeper) -> None:
         """Follow the promotion lock and the rosters."""
-        times = FollowTimes.unhurried(_COORDINATION_WATCH_SECONDS)
+        times = FollowTimes.unbounded(_COORDINATION_WATCH_SECONDS)
         lock = self._ports.lock_source
         self._follow(
             CollectionWatch(PROMOTION_LOCK, lock, leases, times, on_silent=self._metrics.silent)
--- a/src/orchidwind/promoted/views/peer_views.py
+++ b/src/orchidwind/promoted/views/peer_views.py
@@ -66,7 +66,7 @@
         self._view = view
         # A report older than this would not avoid a read of the store: the next proxy is asked.
         self._fresh_seconds = times.read_at_age or 0.0
-        self._whole_seconds = times.whole_wait
+        self._whole_seconds = times.large_content_wait
         self._infrequent = times.ask_every is None or times.ask_every > LINK_REST_PROBE_SECONDS
         self._network = network
         self._followers = followers
--- a/src/orchidwind_bench/promoted/exploration/acknowledgement.py
+++ b/src/orchidwind_bench/promoted/exploration/acknowledgement.py
@@ -16,15 +16,15 @@
 from orchidwind.promoted.core.commands import InstanceRole, InstanceStatus
 from orchidwind.promoted.core.commit_acknowledgement import (
     PROOF_RETRY_SECONDS,
-    CommitVerdict,
+    CommitDecision,
     ConfirmedCommit,
     ReplicaEvidence,
+    decide_by_lease,
+    decide_by_replicas,
+    decide_by_successor,
     must_answer,
-    verdict_by_lease,
-    verdict_by_replicas,
-    verdict_by_successor,
 )
-from orchidwind.promoted.core.lead_proof import LeaseEvidence
+from orchidwind.promoted.core.leadership_proof import LeaseEvidence
 from orchidwind.promoted.core.roster import PromotionRecord
 from orchidwind.promoted.core.store_revision import StoreRevision
 from orchidwind.promoted.core.topology import GroupTopology
@@ -95,39 +95,39 @@
         """Whether the commit may be acknowledged; returns once that is known."""
         confirmed = ConfirmedCommit(primary, Position(commit.term, commit.number))
         while proxy.now() < give_up:
-            verdict = self._verdict_without_asking(proxy, confirmed)
-            if verdict is CommitVerdict.NOT_PROVEN:
+            decision = self._decide_without_asking(proxy, confirmed)
+            if decision is CommitDecision.NOT_PROVEN:
                 revision = proxy.free_revision()
                 statuses = yield from proxy.ask_other_listed()
-                verdict = self._verdict_by_replicas(proxy, confirmed, statuses)
-                if verdict is CommitVerdict.ACKNOWLEDGE:
+                decision = self._decide_by_replicas(proxy, confirmed, statuses)
+                if decision is CommitDecision.ACKNOWLEDGE:
                     proxy.proven_under(primary, revision)
-            if verdict is not CommitVerdict.NOT_PROVEN:
-                return verdict is CommitVerdict.ACKNOWLEDGE
+            if decision is not CommitDecision.NOT_PROVEN:
+                return decision is CommitDecision.ACKNOWLEDGE
             yield PROOF_RETRY_SECONDS
         return False
 
-    def _verdict_without_asking(
+    def _decide_without_asking(
         self, proxy: AcknowledgingProxy, commit: ConfirmedCommit
-    ) -> CommitVerdict:
+    ) -> CommitDecision:
         if not self.asks_lead and proxy.free_revision() is not None:
-            return CommitVerdict.ACKNOWLEDGE
+            return CommitDecision.ACKNOWLEDGE
         term = proxy.topology.primary_term(commit.primary)
-        verdict = CommitVerdict.NOT_PROVEN
+        decision = CommitDecision.NOT_PROVEN
         if self.asks_lead:
-            verdict = verdict_by_lease(commit, proxy.lease_evidence(commit.primary, term))
-        if verdict is not CommitVerdict.NOT_PROVEN:
-            return verdict
+            decision = decide_by_lease(commit, proxy.lease_evidence(commit.primary, term))
+        if decision is not CommitDecision.NOT_PROVEN:
+            return decision
         last = proxy.last_promotion()
         led_term = proxy.topology.primary_term(last.instance) if last is not None else 0
-        return verdict_by_successor(commit, last, led_term)
+        return decide_by_successor(commit, last, led_term)
 
-    def _verdict_by_replicas(
+    def _decide_by_replicas(
         self,
         proxy: AcknowledgingProxy,
         commit: ConfirmedCommit,
         statuses: dict[str, InstanceStatus],
-    ) -> CommitVerdict:
+    ) -> CommitDecision:
         lease = proxy.lease_evidence(commit.primary, commit.position.term)
         evidence = ReplicaEvidence(
             tuple(statuses.values()),
@@ -139,7 +139,7 @@
             evidence = _without_fences(evidence)
         if not self.asks_holder:
             evidence = _with_a_holder(evidence, commit)
-        return verdict_by_replicas(commit, lease, evidence)
+        return decide_by_replicas(commit, lease, evidence)
 
 
 def _without_fences(evidence: ReplicaEvidence) -> ReplicaEvidence:
--- a/src/orchidwind_bench/promoted/exploration/proxy.py
+++ b/src/orchidwind_bench/promoted/exploration/proxy.py
@@ -18,7 +18,7 @@
     FailoverStep,
     PromotionAnswer,
 )
-from orchidwind.promoted.core.lead_proof import LeaseEvidence
+from orchidwind.promoted.core.leadership_proof import LeaseEvidence
 from orchidwind.promoted.core.promotion_lock import HeldLock
 from orchidwind.promoted.core.roster import PromotionRecord
 from orchidwind.promoted.core.store_revision import StoreRevision
@@ -130,10 +130,10 @@
         return self._lease.wait_for_others(token, taken_at)
 
     def call_all(
-        self, instances: tuple[str, ...], name: str, operation: InstanceOperation, hurried: bool
+        self, instances: tuple[str, ...], name: str, operation: InstanceOperation, urgent: bool
     ) -> Process[Statuses]:
         """Call instances at the same time; the statuses of those that answered."""
-        return self._calls.call_all(instances, name, operation, hurried)
+        return self._calls.call_all(instances, name, operation, urgent)
 
     def record_promotion(self, record: PromotionRecord) -> Process[bool]:
         """Write a promotion into the roster; whether it surely stands there."""
--- a/src/orchidwind_bench/promoted/simulation/groups.py
+++ b/src/orchidwind_bench/promoted/simulation/groups.py
@@ -8,7 +8,7 @@
 
 from orchidwind.promoted.core.commands import InstanceRole
 from orchidwind.promoted.core.configuration import DirectoryEntry, ReadConsistency
-from orchidwind.promoted.core.instance_lives import identity_of, life_name, start_of
+from orchidwind.promoted.core.instance_incarnations import identity_of, incarnation_name, start_of
 from orchidwind_bench.promoted.simulation.instances import SimulatedInstance
 from orchidwind_bench.promoted.simulation.replication import Replication
 from orchidwind_bench.promoted.simulation.store import GROUP
@@ -149,12 +149,12 @@
             old.restart()
             return
         old.ended = True
-        life = life_name(identity_of(name), start_of(name) + 1)
-        self.instances[life] = SimulatedInstance(
-            self, life, InstanceRole.REPLICA, old.zone, old.port
+        incarnation = incarnation_name(identity_of(name), start_of(name) + 1)
+        self.instances[incarnation] = SimulatedInstance(
+            self, incarnation, InstanceRole.REPLICA, old.zone, old.port
         )
         self.world.store.entries.pop(name, None)  # the same entry, with another start
-        self._start_receiving(self.instances[life], _LISTED_SECONDS)
+        self._start_receiving(self.instances[incarnation], _LISTED_SECONDS)
 
     # --- replication --------------------------------------------------------------------------
 
--- a/src/orchidwind_bench/promoted/simulation/instances.py
+++ b/src/orchidwind_bench/promoted/simulation/instances.py
@@ -86,7 +86,7 @@
         self.apply_seconds = 0.0
         self._received: list[tuple[float, int]] = []
         self._paused_until = 0.0
-        self._lives = 1
+        self._incarnations = 1
 
     @property
     def position(self) -> Position:
@@ -126,7 +126,7 @@
     def crash(self) -> None:
         """Stop at once; open transactions and the fence are lost."""
         self.alive = False
-        self._lives += 1
+        self._incarnations += 1
         self.fence_term = 0
         self._paused_until = 0.0
         self._fail_confirmations()
@@ -165,10 +165,10 @@
 
     async def while_paused(self) -> bool:
         """Wait until the instance runs; whether it has not crashed meanwhile."""
-        lives = self._lives
+        incarnations = self._incarnations
         while (left := self.pause_left) > 0.0:
             await asyncio.sleep(min(left, PAUSE_LOOK_SECONDS))
-        return self._lives == lives
+        return self._incarnations == incarnations
 
     # --- lead ---------------------------------------------------------------------------------
 
