--- a/src/orchidwind/platform/http_call.py
+++ b/src/orchidwind/platform/http_call.py
@@ -21,7 +21,7 @@
 )
 from tornado.iostream import IOStream, StreamClosedError
 
-from orchidwind.promoted.core.call_limits import ARRIVING_SECONDS, LONGEST_ANSWER_SECONDS
+from orchidwind.promoted.core.call_limits import ANSWER_STALL_SECONDS, LONGEST_ANSWER_SECONDS
 from orchidwind.shared.core.errors import OrchidwindError
 from orchidwind.shared.sockets import client_socket
 
@@ -132,7 +132,7 @@
         if self._limit is None or self._on_arrival is None or due is None:
             return
         self._on_arrival()
-        next_part_due = self._loop.time() + ARRIVING_SECONDS
+        next_part_due = self._loop.time() + ANSWER_STALL_SECONDS
         latest = self._started_at + LONGEST_ANSWER_SECONDS
         self._limit.reschedule(max(due, min(next_part_due, latest)))
 
--- a/src/orchidwind/promoted/callers/session_executor.py
+++ b/src/orchidwind/promoted/callers/session_executor.py
@@ -218,7 +218,7 @@
         tenant = self._tenant(command, database)
         if command.kind in (CommandKind.BEGIN, CommandKind.BEGIN_READ_ONLY):
             return self._begin(command, database, arrived_at, tenant)
-        if session.answer_locally(command):
+        if session.run_locally(command):
             return CommandResult()
         ends = command.kind in (CommandKind.COMMIT, CommandKind.ROLLBACK)
         if ends and session.transaction is None:
@@ -253,7 +253,7 @@
             self.session, group.state, database, command, arrived_at, tenant=tenant
         )
         self._context = context
-        limits = TimeLimits.of_new(database, arrived_at)
+        limits = TimeLimits.for_new_command(database, arrived_at)
         if not self._opened_here and self._forwarder.serves(database.group, tenant):
             forwarded = await self._forward(context, limits)
             if forwarded is not None:
--- a/src/orchidwind/promoted/core/call_limits.py
+++ b/src/orchidwind/promoted/core/call_limits.py
@@ -14,7 +14,7 @@
 
 # Maximum number of seconds without data while an answer is arriving. A window of 64 KB takes 0.1 s
 # on a link of 5 Mbit/s, and a lost packet adds a few tenths of a second.
-ARRIVING_SECONDS = 1.0
+ANSWER_STALL_SECONDS = 1.0
 
 # Maximum total duration of an answer that is arriving, in seconds. 1 MB, the largest object of the
 # first users' store, takes 8 s at 1 Mbit/s.
--- a/src/orchidwind/promoted/core/change_reasons.py
+++ b/src/orchidwind/promoted/core/change_reasons.py
@@ -78,7 +78,7 @@
 
     def _reason_without_primary(self, now: float) -> FailoverReason | None:
         """Returns a reason to consider a change while no primary is known, or None."""
-        leader = self.known_leader()
+        leader = self.last_known_primary()
         if leader and self._is_leaving(leader, now):
             return FailoverReason.LEAVING
         if self._no_primary_since is None:
@@ -88,7 +88,7 @@
             return None
         return FailoverReason.UNREACHABLE
 
-    def known_leader(self) -> str:
+    def last_known_primary(self) -> str:
         """Returns the last known primary, or an empty string.
 
         Before any primary was known, this is the only listed instance that claims to be primary.
--- a/src/orchidwind/promoted/core/command_limits.py
+++ b/src/orchidwind/promoted/core/command_limits.py
@@ -38,14 +38,16 @@
     target_at: float = NO_TARGET
 
     @classmethod
-    def of_new(cls, database: DatabaseRoute, arrived_at: float) -> TimeLimits:
+    def for_new_command(cls, database: DatabaseRoute, arrived_at: float) -> TimeLimits:
         """Returns the limits of a command that has just arrived from a caller."""
         timeout = database.statement_timeout
         target_at = arrived_at + database.target_latency
         return cls(arrived_at + timeout, arrived_at + timeout * _HOLD_SHARE, target_at)
 
     @classmethod
-    def at_home(cls, message: RunCommand, target_latency: float | None, now: float) -> TimeLimits:
+    def for_forwarded_command(
+        cls, message: RunCommand, target_latency: float | None, now: float
+    ) -> TimeLimits:
         """Returns the limits, at the home proxy, of a command that a front proxy has sent.
 
         The time that the command spent at the front proxy counts.
--- a/src/orchidwind/promoted/core/drain_plan.py
+++ b/src/orchidwind/promoted/core/drain_plan.py
@@ -29,20 +29,20 @@
     grace_seconds: float
     sessions: int
 
-    def over(self, elapsed: float) -> bool:
+    def is_over(self, elapsed: float) -> bool:
         """Whether the proxy stops waiting for sessions to end."""
         return elapsed >= self.grace_seconds * _END_SHARE
 
-    def accepts(self, elapsed: float) -> bool:
+    def accepts_sessions(self, elapsed: float) -> bool:
         """Whether new sessions are still accepted."""
         return elapsed < self._accept_seconds
 
-    def may_close(self, elapsed: float, closed: int, present: int) -> int:
+    def closable_sessions(self, elapsed: float, closed: int, present: int) -> int:
         """Returns how many sessions may be closed now.
 
         `closed` sessions were closed before, and `present` sessions are still open.
         """
-        if not self.accepts(elapsed):
+        if not self.accepts_sessions(elapsed):
             return present
         return int(self.sessions * (elapsed / self._accept_seconds)) - closed
 
--- a/src/orchidwind/promoted/core/flow_parts.py
+++ b/src/orchidwind/promoted/core/flow_parts.py
@@ -77,7 +77,7 @@
     busy_replies: int = 0
     tenant: str = NO_TENANT
 
-    def note(self, instance: str, outcome: str) -> None:
+    def record_attempt(self, instance: str, outcome: str) -> None:
         """Records the basis and the outcome of one attempt for the log."""
         self.attempts.append(f"{instance}:{outcome}")
 
@@ -198,7 +198,7 @@
         yield Pause(RETRY_PAUSE_SECONDS)
         primary = yield WaitForPrimary(leadership_proof=True)
         assert isinstance(primary, PrimaryView)
-        context.note(primary.instance, f"term={primary.term}:lead_not_proven")
+        context.record_attempt(primary.instance, f"term={primary.term}:lead_not_proven")
         if (yield WaitForProof(primary.term)):
             return
 
@@ -207,7 +207,7 @@
     context: CommandContext, plan: ReadPlan
 ) -> Generator[Step, StepResult, None]:
     """After a lost connection, excludes a replica; pauses if the read needs the primary."""
-    context.note(plan.instance, "connection_lost")
+    context.record_attempt(plan.instance, "connection_lost")
     if plan.proof_of_term:
         yield Pause(RETRY_PAUSE_SECONDS)
     else:
--- a/src/orchidwind/promoted/core/flows.py
+++ b/src/orchidwind/promoted/core/flows.py
@@ -71,7 +71,7 @@
         if reply is None:
             continue
         yield Release(connection, reusable=reply.state is TransactionState.IDLE)
-        context.note(plan.instance, f"floor={plan.floor}:{reply.code.value}")
+        context.record_attempt(plan.instance, f"floor={plan.floor}:{reply.code.value}")
         if reply.done:
             return CommandResult(reply.rows, reply.signature)
         yield from prepare_read_retry(context, plan, reply)
@@ -89,13 +89,15 @@
             reply = yield from exchange(context, connection, messages)
         except BackendConnectionLost as lost:
             yield Release(connection, reusable=False)
-            context.note(primary.instance, f"term={primary.term}:connection_lost:sent={lost.sent}")
+            context.record_attempt(
+                primary.instance, f"term={primary.term}:connection_lost:sent={lost.sent}"
+            )
             if lost.sent:
                 raise write_in_doubt() from lost
             context.sent_write = False
             continue
         yield Release(connection, reusable=reply.state is TransactionState.IDLE)
-        context.note(primary.instance, f"term={primary.term}:{reply.code.value}")
+        context.record_attempt(primary.instance, f"term={primary.term}:{reply.code.value}")
         if reply.done:
             context.session.raise_floor(reply.position)
             context.group.commit_acknowledged(sent_at, reply.position)
--- a/src/orchidwind/promoted/core/homes.py
+++ b/src/orchidwind/promoted/core/homes.py
@@ -52,7 +52,7 @@
 FORGET_PROXY_SECONDS = 30.0
 # Seconds after a proxy wrote its own entry before it trusts a list of members that lacks the entry.
 # Half of the maximum age of the list (`ProxyBounds.members`).
-OWN_ENTRY_LISTED_AFTER_SECONDS = 10.0
+OWN_ENTRY_GRACE_SECONDS = 10.0
 # Seconds for which a proxy stays a member after the store was restored from an older copy that
 # lacks its entry. Proxies learn of the restore within half a second of one another and write their
 # entries again within one second; the rest allows for calls that are refused.
--- a/src/orchidwind/promoted/core/link_silence.py
+++ b/src/orchidwind/promoted/core/link_silence.py
@@ -27,7 +27,7 @@
 LINK_CHECK_SECONDS = 0.05
 # A recently used link is probed after this many seconds without a message, so that a silent link is
 # found before a request uses it. A busy link is rarely probed (docs/SILENCE.md describes the cost).
-LINK_REST_PROBE_SECONDS = 1.0
+LINK_IDLE_PROBE_SECONDS = 1.0
 # Seconds after its last use for which an idle link is probed. Probing rarely used links would cost
 # the fleet more than the next request on such a link loses.
 LINK_IN_USE_SECONDS = 5.0
@@ -65,7 +65,7 @@
         """Records that the connection has ended, and with it any pending answer."""
         self._pending_since = None
 
-    def asked(self, now: float) -> None:
+    def request_sent(self, now: float) -> None:
         """Records that a message was sent that the other side answers."""
         if self._pending_since is None:
             self._pending_since = now
@@ -74,13 +74,13 @@
         """Records that a message was sent for a request or for a view that requests need."""
         self._used_at = now
 
-    def received(self, now: float, more_owed: bool) -> None:
-        """Records a complete message; `more_owed` tells whether further answers are pending."""
+    def received(self, now: float, more_pending: bool) -> None:
+        """Records a complete message; `more_pending` tells whether further answers are pending."""
         self._received_at = now
-        self._pending_since = now if more_owed else None
+        self._pending_since = now if more_pending else None
 
     @property
-    def owed(self) -> bool:
+    def answer_pending(self) -> bool:
         """Whether an answer of the other side is pending."""
         return self._pending_since is not None
 
@@ -109,9 +109,9 @@
         """Whether the link was used recently enough to be probed while idle."""
         return now - self._used_at <= LINK_IN_USE_SECONDS
 
-    def rest_probe_due(self, now: float) -> bool:
+    def idle_probe_due(self, now: float) -> bool:
         """Whether to probe the idle link: no answer is pending, and no message came for a while."""
-        return self._pending_since is None and now - self._received_at >= LINK_REST_PROBE_SECONDS
+        return self._pending_since is None and now - self._received_at >= LINK_IDLE_PROBE_SECONDS
 
 
 class ReopenPause:
@@ -120,7 +120,7 @@
     def __init__(self) -> None:
         self._next = FIRST_REOPEN_PAUSE_SECONDS
 
-    def take(self) -> float:
+    def next_pause(self) -> float:
         """Returns the seconds until the next attempt, and doubles the pause after it."""
         seconds = self._next
         self._next = min(seconds * 2, LONGEST_REOPEN_PAUSE_SECONDS)
--- a/src/orchidwind/promoted/core/session.py
+++ b/src/orchidwind/promoted/core/session.py
@@ -77,7 +77,7 @@
             return self.prepared_for(command).writes
         return command.kind is CommandKind.WRITE
 
-    def answer_locally(self, command: Command) -> bool:
+    def run_locally(self, command: Command) -> bool:
         """Runs a command that needs no instance; returns False if the command needs one.
 
         Raises RequestError if the session already has too many settings or prepared statements.
--- a/src/orchidwind/promoted/core/supervision.py
+++ b/src/orchidwind/promoted/core/supervision.py
@@ -145,7 +145,7 @@
         """Return the plan for a change of primary, from what is known now."""
         views = self._topology.instances
         replacements = self._topology.confirming.replacements()
-        leader = self._reasons.known_leader()
+        leader = self._reasons.last_known_primary()
         last_promotion = self._topology.last_promotion
         if last_promotion is not None:
             promoted = replacements.get(last_promotion.instance, last_promotion.instance)
--- a/src/orchidwind/promoted/core/transaction_flows.py
+++ b/src/orchidwind/promoted/core/transaction_flows.py
@@ -67,7 +67,7 @@
     messages = tuple(statement_messages(context, transaction.connection))
     context.sent_to = transaction.instance
     reply = yield from _transaction_exchange(context, transaction, messages)
-    context.note(transaction.instance, f"in_transaction:{reply.code.value}")
+    context.record_attempt(transaction.instance, f"in_transaction:{reply.code.value}")
     if reply.done:
         return CommandResult(reply.rows, reply.signature)
     yield from _abandon(context, transaction)
@@ -189,7 +189,9 @@
     sent_at = context.group.now()
     reply = yield from _commit_exchange(context, transaction, message)
     connection = transaction.connection
-    context.note(transaction.instance, f"commit:wrote={transaction.wrote}:{reply.code.value}")
+    context.record_attempt(
+        transaction.instance, f"commit:wrote={transaction.wrote}:{reply.code.value}"
+    )
     context.session.end_transaction()
     if reply.state is TransactionState.IDLE:
         yield Release(connection, reusable=True)
--- a/src/orchidwind/promoted/peers/forwarding.py
+++ b/src/orchidwind/promoted/peers/forwarding.py
@@ -79,7 +79,7 @@
             try:
                 answer = await self._ask(channel, context, limits)
             except PeerUnavailable as lost:
-                context.note(channel.link.member.name, f"home_lost:sent={lost.sent}")
+                context.record_attempt(channel.link.member.name, f"home_lost:sent={lost.sent}")
                 error = self._handle_lost_home(context.command, lost.sent)
                 if context.command.kind is CommandKind.ROLLBACK:
                     return self._complete_rollback()
@@ -140,7 +140,7 @@
         """Apply an answer to the session; return the caller's result. Raises RequestError."""
         session, kind = self._session, context.command.kind
         session.raise_floor(answer.floor)
-        context.note(channel.link.member.name, f"home:{answer.attempts}")
+        context.record_attempt(channel.link.member.name, f"home:{answer.attempts}")
         if answer.sent_to:
             context.sent_to = f"{channel.link.member.name}/{answer.sent_to}"
         self._transaction_channel = None
--- a/src/orchidwind/promoted/peers/own_entry.py
+++ b/src/orchidwind/promoted/peers/own_entry.py
@@ -10,7 +10,7 @@
 import asyncio
 import random
 
-from orchidwind.promoted.core.homes import OWN_ENTRY_LISTED_AFTER_SECONDS, ProxyMember
+from orchidwind.promoted.core.homes import OWN_ENTRY_GRACE_SECONDS, ProxyMember
 from orchidwind.promoted.ports import MemberStore
 from orchidwind.shared.core.errors import PlatformError
 from orchidwind.shared.logs import log_event
@@ -65,7 +65,7 @@
 
     def on_missing(self) -> None:
         """Write the entry, as a full list lacks this proxy; ignored if it was written recently."""
-        if self._loop.time() - self._written_at > OWN_ENTRY_LISTED_AFTER_SECONDS:
+        if self._loop.time() - self._written_at > OWN_ENTRY_GRACE_SECONDS:
             self._write_due.set()
 
     def store_came_back(self) -> None:
--- a/src/orchidwind/promoted/peers/peer_link.py
+++ b/src/orchidwind/promoted/peers/peer_link.py
@@ -208,7 +208,7 @@
             if message.leaving != self.leaving:
                 log_event("home_leaving", home=self.member.name, leaving=message.leaving)
             self.leaving = message.leaving
-        self._silence.received(self._loop.time(), more_owed=bool(self._pending))
+        self._silence.received(self._loop.time(), more_pending=bool(self._pending))
 
     def _connection_ended(self, reason: str) -> None:
         if self._connection is not None:
@@ -236,7 +236,7 @@
         if self._reopening is not None:
             self._reopening.cancel()
         if not self._closed:
-            self._reopening = self._loop.call_later(self._pause.take(), self._reopen)
+            self._reopening = self._loop.call_later(self._pause.next_pause(), self._reopen)
 
     def _reopen(self) -> None:
         """Reopen the connection; the link is usable again once the other side has answered."""
--- a/src/orchidwind/promoted/peers/remote_session.py
+++ b/src/orchidwind/promoted/peers/remote_session.py
@@ -97,7 +97,9 @@
             now = self._loop.time()
             context = context_at_home(message, self._session, group.state, now)
             self._group = group
-            limits = TimeLimits.at_home(message, self._home.target_latency(message.database), now)
+            limits = TimeLimits.for_forwarded_command(
+                message, self._home.target_latency(message.database), now
+            )
             result = await self._runner.run(context, group, limits)
         except RequestError as error:
             self._fail_transaction()
--- a/src/orchidwind/promoted/peers/silence_watch.py
+++ b/src/orchidwind/promoted/peers/silence_watch.py
@@ -40,7 +40,7 @@
 
     def record_request(self) -> None:
         """Record that a message was sent that the other side must answer."""
-        self._silence.asked(self._loop.time())
+        self._silence.request_sent(self._loop.time())
         if self._answer_timer is None:
             self._check_answer_in(link_silence.LINK_PROBE_AFTER_SECONDS)
 
@@ -56,7 +56,7 @@
         self._answer_timer = None
         now = self._loop.time()
         last_byte_at = self._link.last_byte_at()
-        if last_byte_at is None or not self._silence.owed:
+        if last_byte_at is None or not self._silence.answer_pending:
             return
         due = self._silence.check(now, last_byte_at)
         if due is LinkCheck.GIVE_UP:
@@ -68,7 +68,7 @@
 
     def _check_idle_later(self) -> None:
         if self._idle_timer is None:
-            seconds = link_silence.LINK_REST_PROBE_SECONDS
+            seconds = link_silence.LINK_IDLE_PROBE_SECONDS
             self._idle_timer = self._loop.call_later(seconds, self._check_idle)
 
     def _check_idle(self) -> None:
@@ -76,7 +76,7 @@
         now = self._loop.time()
         if self._link.last_byte_at() is None or not self._silence.in_use(now):
             return
-        if self._silence.rest_probe_due(now):
+        if self._silence.idle_probe_due(now):
             self._link.probe()
             self.record_request()
         self._check_idle_later()
--- a/src/orchidwind/promoted/views/peer_views.py
+++ b/src/orchidwind/promoted/views/peer_views.py
@@ -20,7 +20,7 @@
 
 from orchidwind.promoted.core.freshness import FollowTimes
 from orchidwind.promoted.core.homes import ProxyMember, zone_readers
-from orchidwind.promoted.core.link_silence import LINK_REST_PROBE_SECONDS
+from orchidwind.promoted.core.link_silence import LINK_IDLE_PROBE_SECONDS
 from orchidwind.promoted.core.peer_messages import ViewReport
 from orchidwind.promoted.core.store_revision import StoreRevision
 from orchidwind.promoted.peers.peer_link import PeerLink
@@ -67,7 +67,7 @@
         # A report older than this would not avoid a read of the store: the next proxy is asked.
         self._fresh_seconds = times.read_at_age or 0.0
         self._whole_seconds = times.large_content_wait
-        self._infrequent = times.ask_every is None or times.ask_every > LINK_REST_PROBE_SECONDS
+        self._infrequent = times.ask_every is None or times.ask_every > LINK_IDLE_PROBE_SECONDS
         self._network = network
         self._followers = followers
         self._items = items
