--- a/src/orchidwind/platform/instances.py
+++ b/src/orchidwind/platform/instances.py
@@ -17,7 +17,7 @@
 from orchidwind.promoted.core.commands import InstanceMessage, InstanceStatus, Reply, ReplyCode
 from orchidwind.promoted.core.configuration import DirectoryEntry
 from orchidwind.promoted.core.instance_incarnations import identity_of
-from orchidwind.promoted.group.connection_opener import CONNECTION_LIMIT_MET, OTHER_INSTANCE
+from orchidwind.promoted.group.connection_opener import TOO_MANY_CONNECTIONS, UNEXPECTED_INSTANCE
 from orchidwind.shared.core.errors import BackendConnectionLost, BackendRefused
 from orchidwind.shared.sockets import client_socket
 
@@ -140,9 +140,9 @@
 def _refusal(reply: Reply) -> BackendRefused:
     code, _, _ = reply.text.partition(" ")
     if code == "TOOMANYCON":
-        return BackendRefused(reply.text, CONNECTION_LIMIT_MET)
+        return BackendRefused(reply.text, TOO_MANY_CONNECTIONS)
     if code == "WRONGNODE":
-        return BackendRefused(reply.text, OTHER_INSTANCE)
+        return BackendRefused(reply.text, UNEXPECTED_INSTANCE)
     if reply.code is ReplyCode.BUSY:
         return BackendRefused(reply.text, _BUSY)
     return BackendRefused(reply.text, _OTHER_REFUSAL)
--- a/src/orchidwind/promoted/group/connection_opener.py
+++ b/src/orchidwind/promoted/group/connection_opener.py
@@ -16,10 +16,10 @@
 from orchidwind.shared.core.tenant_connections import NO_TENANT
 
 # The instance's connection limit is reached: SQLSTATE too_many_connections.
-CONNECTION_LIMIT_MET = "53300"
+TOO_MANY_CONNECTIONS = "53300"
 # Another instance answers at the address, as the expected one has ended: SQLSTATE
 # sqlclient_unable_to_establish_sqlconnection.
-OTHER_INSTANCE = "08001"
+UNEXPECTED_INSTANCE = "08001"
 
 # Seconds for which an instance counts as full after it refused a connection. Instances count the
 # connections of lost proxies for up to 3 s, and each refusal restarts the time.
@@ -58,7 +58,7 @@
         except TimeoutError as error:
             raise BackendConnectionLost("opening a connection timed out", sent=False) from error
 
-    def note_no_room(self, instance: str) -> None:
+    def note_full(self, instance: str) -> None:
         """Record that an instance refused a connection because it is full."""
         self._full_until[instance] = self._loop.time() + _FULL_SECONDS
 
--- a/src/orchidwind/promoted/group/group_service.py
+++ b/src/orchidwind/promoted/group/group_service.py
@@ -196,7 +196,7 @@
         self.status_calls.close_link(instance)
         self.connections.drop_idle(instance)
 
-    async def forget_old(self) -> None:
+    async def forget_departed(self) -> None:
         """Forget instances that left long ago, provided that others hold their logs."""
         if self.supervised and self.topology.confirming.any_expired(self._loop.time()):
             # Ask the primary first: whatever its log holds then, the others must report later.
--- a/src/orchidwind/promoted/group/pool_driver.py
+++ b/src/orchidwind/promoted/group/pool_driver.py
@@ -14,7 +14,7 @@
 from collections.abc import Callable, Iterable
 
 from orchidwind.promoted.core.group_state import GroupState
-from orchidwind.promoted.group.connection_opener import CONNECTION_LIMIT_MET, ConnectionOpener
+from orchidwind.promoted.group.connection_opener import TOO_MANY_CONNECTIONS, ConnectionOpener
 from orchidwind.promoted.group.connection_records import ConnectionRecords
 from orchidwind.promoted.group.connection_requests import ConnectionRequests
 from orchidwind.promoted.group.instance_pools import InstancePools
@@ -147,9 +147,9 @@
             )
         except BackendRefused as refused:
             log_event("connection_refused", instance=instance, reason=str(refused))
-            limit_met = refused.sqlstate == CONNECTION_LIMIT_MET
+            limit_met = refused.sqlstate == TOO_MANY_CONNECTIONS
             if limit_met:
-                self.opener.note_no_room(instance)
+                self.opener.note_full(instance)
                 self._loop.call_later(_OPEN_RETRY_SECONDS, self._retry_open, pool)
             self._open_failed(pool, number, limit_met)
             return refused
--- a/src/orchidwind/promoted/group/status_calls.py
+++ b/src/orchidwind/promoted/group/status_calls.py
@@ -21,7 +21,7 @@
     status_time_limit,
 )
 from orchidwind.promoted.core.topology import GroupTopology
-from orchidwind.promoted.group.connection_opener import CONNECTION_LIMIT_MET, OTHER_INSTANCE
+from orchidwind.promoted.group.connection_opener import TOO_MANY_CONNECTIONS, UNEXPECTED_INSTANCE
 from orchidwind.promoted.group.connections import GroupConnections
 from orchidwind.promoted.ports import InstanceLink
 from orchidwind.shared.core.errors import BackendConnectionLost, BackendRefused
@@ -85,15 +85,15 @@
         return status_time_limit(ever_answered, unreachable, urgent)
 
     def _handle_refusal(self, instance: str, refused: BackendRefused) -> None:
-        if refused.sqlstate == OTHER_INSTANCE:
+        if refused.sqlstate == UNEXPECTED_INSTANCE:
             # Another instance answers at the address; this must not delay a change of primary.
             log_event("instance_replaced", instance=instance, reason=str(refused))
             self._on_unreachable(instance)
             return
         # Not logged: a full instance refuses often, and a refusal shows that it is alive.
         self._topology.answered(instance, self._loop.time())
-        if refused.sqlstate == CONNECTION_LIMIT_MET:
-            self._connections.opener.note_no_room(instance)
+        if refused.sqlstate == TOO_MANY_CONNECTIONS:
+            self._connections.opener.note_full(instance)
 
     async def _ask_hedged(self, instance: str, call: StatusCall) -> InstanceStatus:
         """Make a call; if it gets no answer, repeat it in parallel on a new connection."""
--- a/src/orchidwind/promoted/upkeep.py
+++ b/src/orchidwind/promoted/upkeep.py
@@ -51,7 +51,7 @@
         while True:
             await asyncio.sleep(_FORGET_SECONDS)
             for group in self._groups.values():
-                await group.forget_old()
+                await group.forget_departed()
 
     async def log_figures(self) -> None:
         """Log what was counted so far."""
--- a/tests/promoted/test_forgotten_instances.py
+++ b/tests/promoted/test_forgotten_instances.py
@@ -68,7 +68,7 @@
     group.view_changes.entry_gone(GONE)
     await asyncio.sleep(MAY_CONFIRM_SECONDS + 1.0)
     report_statuses(group, ("i-0", "i-1"))
-    await group.forget_old()
+    await group.forget_departed()
     assert GONE not in group.topology.instances
 
 
@@ -90,7 +90,7 @@
         group = new_group(Connector())
         now = asyncio.get_running_loop().time()
         group.connections.pools.of(GONE)
-        group.connections.opener.note_no_room(GONE)
+        group.connections.opener.note_full(GONE)
         group._writes.confirmed(GONE, now)
         group._silent.check(GONE, now)
         group.status_calls._hedge_pauses.begin(GONE, now)
