--- a/src/orchidwind/platform/callers.py
+++ b/src/orchidwind/platform/callers.py
@@ -66,7 +66,7 @@
         stream.set_close_callback(self._on_closed)
 
     @property
-    def resting(self) -> bool:
+    def idle(self) -> bool:
         """Whether the caller waits for no answer."""
         return not self._busy
 
--- a/src/orchidwind/promoted/callers/session_executor.py
+++ b/src/orchidwind/promoted/callers/session_executor.py
@@ -254,7 +254,7 @@
         )
         self._context = context
         limits = TimeLimits.for_new_command(database, arrived_at)
-        if not self._opened_here and self._forwarder.serves(database.group, tenant):
+        if not self._opened_here and self._forwarder.forwards(database.group, tenant):
             forwarded = await self._forward(context, limits)
             if forwarded is not None:
                 return forwarded
--- a/src/orchidwind/promoted/callers/session_registry.py
+++ b/src/orchidwind/promoted/callers/session_registry.py
@@ -21,7 +21,7 @@
     """One session as the planned stop sees it."""
 
     @property
-    def resting(self) -> bool:
+    def idle(self) -> bool:
         """Whether nobody waits for an answer on it."""
 
     @property
@@ -60,7 +60,7 @@
         for session in list(self.sessions):
             if closed >= most:
                 break
-            if session.resting and (with_transactions or not session.in_transaction):
+            if session.idle and (with_transactions or not session.in_transaction):
                 session.close()
                 closed += 1
         return closed
--- a/src/orchidwind/promoted/core/peer_messages.py
+++ b/src/orchidwind/promoted/core/peer_messages.py
@@ -2,7 +2,7 @@
 
 Proxies of two versions must understand each other, so names and types of the fields stay as in
 `messages.avsc`. `peers.peer_codec` encodes the messages; `forwarded_commands` and
-`views.view_forms` convert them. Times are in seconds.
+`views.view_conversion` convert them. Times are in seconds.
 """
 
 from __future__ import annotations
--- a/src/orchidwind/promoted/peers/forwarding.py
+++ b/src/orchidwind/promoted/peers/forwarding.py
@@ -61,7 +61,7 @@
         self._transaction_channel: _OpenChannel | None = None
         self._running_channel: _OpenChannel | None = None
 
-    def serves(self, group: str, tenant: str) -> bool:
+    def forwards(self, group: str, tenant: str) -> bool:
         """Whether a tenant's commands for a group are currently forwarded to another proxy."""
         return (
             self._transaction_channel is not None
--- a/src/orchidwind/promoted/peers/own_entry.py
+++ b/src/orchidwind/promoted/peers/member_registration.py
@@ -25,7 +25,7 @@
 _RELISTING_SPREAD_SECONDS = 0.5
 
 
-class OwnEntry:
+class MemberRegistration:
     """Keeps this proxy in the list; removes proxies that it could not reach for too long."""
 
     def __init__(self, own: ProxyMember, store: MemberStore) -> None:
@@ -41,7 +41,7 @@
     async def write(self) -> bool:
         """Try to write this proxy's entry; return whether the entry was created.
 
-        A failed write is logged and retried by `keep`. A starting proxy writes its entry
+        A failed write is logged and retried by `keep_listed`. A starting proxy writes its entry
         before it reads the list, as other proxies may be starting at the same time.
         """
         self._write_due.clear()
@@ -55,7 +55,7 @@
         log_event("member_written", is_new=is_new)
         return is_new
 
-    async def keep(self) -> None:
+    async def keep_listed(self) -> None:
         """Write this proxy's entry whenever it is found missing; runs until cancelled."""
         while True:
             await self._write_due.wait()
@@ -68,7 +68,7 @@
         if self._loop.time() - self._written_at > OWN_ENTRY_GRACE_SECONDS:
             self._write_due.set()
 
-    def store_came_back(self) -> None:
+    def on_store_restored(self) -> None:
         """Write the entry again: the store was restored from a copy that may lack it."""
         self._spread = _RELISTING_SPREAD_SECONDS
         self._write_due.set()
--- a/src/orchidwind/promoted/peers/peer_network.py
+++ b/src/orchidwind/promoted/peers/peer_network.py
@@ -22,7 +22,7 @@
     group_homes,
     lock_readers,
 )
-from orchidwind.promoted.peers.own_entry import OwnEntry
+from orchidwind.promoted.peers.member_registration import MemberRegistration
 from orchidwind.promoted.peers.peer_link import PeerLink
 from orchidwind.promoted.ports import Changes, Listing, MemberStore, PeerConnector
 from orchidwind.shared.core.tenant_connections import NO_TENANT
@@ -40,7 +40,7 @@
     after: Sequence[PeerLink] = ()
 
 
-class GroupFacts(Struct, frozen=True):
+class PlacementInputs(Struct, frozen=True):
     """The facts about groups and tenants on which the placement of groups depends.
 
     `connection_limit`: how many connections from all proxies an instance of a group accepts.
@@ -67,12 +67,12 @@
         own: ProxyMember,
         connector: PeerConnector,
         store: MemberStore,
-        groups: GroupFacts,
+        groups: PlacementInputs,
         on_change: Callable[[], None],
         on_silent: OnSilent = log_silent_connection,
     ) -> None:
         self.own = own
-        self.own_entry = OwnEntry(own, store)
+        self.member_registration = MemberRegistration(own, store)
         # Whether the members were read since the start.
         self.known = False
         # Increases whenever members or placements may have changed.
@@ -102,7 +102,7 @@
         before, first = self._members, not self.known
         self._listed = {member.name: member for member in listing.items}
         if self.own.name not in self._listed:
-            self.own_entry.on_missing()
+            self.member_registration.on_missing()
         if not first and listing.revision.era > self._era:
             self._retain(before)
         self._era = listing.revision.era
@@ -122,7 +122,7 @@
             self._listed.pop(name, None)
             self._retained.pop(name, None)
         if self.own.name in changes.gone:
-            self.own_entry.on_removed()
+            self.member_registration.on_removed()
         self._merge()
         if self._members != before:
             self._members_changed()
@@ -275,10 +275,10 @@
             return
         # Restart the wait, so that a removal that failed is tried again.
         link.lost_since = self._loop.time()
-        self.own_entry.remove_other(link.member.name)
+        self.member_registration.remove_other(link.member.name)
 
     def close(self) -> None:
         """Close all links."""
-        self.own_entry.close()
+        self.member_registration.close()
         for link in self._links.values():
             link.close()
--- a/src/orchidwind/promoted/peers/peer_service.py
+++ b/src/orchidwind/promoted/peers/peer_service.py
@@ -31,7 +31,7 @@
         self._links.add(served)
         return served
 
-    def ended(self, served: ServedLink) -> None:
+    def link_ended(self, served: ServedLink) -> None:
         """Remove a link that has ended: transactions that were open on it are rolled back."""
         self._links.discard(served)
         if self._by_proxy.get(served.proxy) is served:
--- a/src/orchidwind/promoted/peers/peer_streams.py
+++ b/src/orchidwind/promoted/peers/peer_streams.py
@@ -155,10 +155,10 @@
         self._streams.add(opened)
         served = self._service.link(LinkWriter(opened.send, opened.drained, opened.close))
         try:
-            await opened.receive(served.take)
+            await opened.receive(served.handle_message)
         finally:
             self._streams.discard(opened)
-            self._service.ended(served)
+            self._service.link_ended(served)
 
     def close_links(self) -> None:
         """Reset the connections of all links."""
--- a/src/orchidwind/promoted/peers/remote_session.py
+++ b/src/orchidwind/promoted/peers/remote_session.py
@@ -36,7 +36,7 @@
     """Runs one command at a time; a transaction may stay open between two of them."""
 
     def __init__(self, home: HomePorts) -> None:
-        self.resting = True
+        self.idle = True
         self._home = home
         self._idle_timer: asyncio.TimerHandle | None = None
         self._session = Session()
@@ -51,7 +51,7 @@
 
     def begin_work(self) -> None:
         """Record that a command begins; stops the idle timer."""
-        self.resting = False
+        self.idle = False
         if self._idle_timer is not None:
             self._idle_timer.cancel()
             self._idle_timer = None
@@ -67,7 +67,7 @@
             self.close()
             on_expired()
 
-        self.resting = True
+        self.idle = True
         if self.in_transaction:
             wait = self._home.transaction_idle() + _FRONT_MARGIN_SECONDS
             self._idle_timer = self._loop.call_later(wait, expire)
@@ -78,7 +78,7 @@
         A transaction whose command is running is rolled back when the command ends.
         """
         self._runner.caller_gone = True
-        if self.resting:
+        if self.idle:
             self._fail_transaction()
             self._home.registry.sessions.discard(self)
 
--- a/src/orchidwind/promoted/peers/served_link.py
+++ b/src/orchidwind/promoted/peers/served_link.py
@@ -57,7 +57,7 @@
         self._sessions: dict[int, RemoteSession] = {}
         self._tasks = TaskSet()
 
-    def take(self, message: PeerMessage) -> None:
+    def handle_message(self, message: PeerMessage) -> None:
         """Handle a message from the other proxy."""
         if isinstance(message, RunCommand):
             self._run(message)
@@ -155,6 +155,6 @@
     def _drop_if_done(self, channel: int) -> None:
         """Forget a session that neither runs a command nor has a transaction open."""
         session = self._sessions.get(channel)
-        if session is not None and session.resting and not session.in_transaction:
+        if session is not None and session.idle and not session.in_transaction:
             del self._sessions[channel]
             self._home.registry.sessions.discard(session)
--- a/src/orchidwind/promoted/proxy_runtime.py
+++ b/src/orchidwind/promoted/proxy_runtime.py
@@ -37,14 +37,14 @@
 from orchidwind.promoted.instance_directory import InstanceDirectory
 from orchidwind.promoted.metrics import ProxyMetrics
 from orchidwind.promoted.peers.home_ports import HomePorts
-from orchidwind.promoted.peers.peer_network import GroupFacts, PeerNetwork
+from orchidwind.promoted.peers.peer_network import PeerNetwork, PlacementInputs
 from orchidwind.promoted.peers.peer_service import PeerService
 from orchidwind.promoted.ports import ProxyPorts
 from orchidwind.promoted.quotas.tenancy import Tenancy
 from orchidwind.promoted.upkeep import Upkeep
 from orchidwind.promoted.views.collection_watch import CollectionWatch
 from orchidwind.promoted.views.configuration_follower import ConfigurationFollower
-from orchidwind.promoted.views.followed_views import GATHER_MEMBERS_SECONDS, ProxyBounds, ProxyViews
+from orchidwind.promoted.views.followed_views import BATCH_MEMBERS_SECONDS, ProxyBounds, ProxyViews
 from orchidwind.promoted.views.view_reporter import ViewReporter
 from orchidwind.shared.core.errors import ErrorKind
 from orchidwind.shared.core.tenant_connections import NO_TENANT
@@ -93,7 +93,7 @@
             self._lock,
             self.homes.lock_readers,
         )
-        self.store_era.on_return(self.homes.own_entry.store_came_back)
+        self.store_era.on_return(self.homes.member_registration.on_store_restored)
         self._tenancy = Tenancy(
             self._bounds,
             ports.quota_share_store,
@@ -109,7 +109,7 @@
         self._successes = 0
 
     def _peer_network(self, own: ProxyMember) -> PeerNetwork:
-        facts = GroupFacts(
+        facts = PlacementInputs(
             self._connection_limit,
             lambda: len(self.groups),
             self._starved,
@@ -146,11 +146,11 @@
         self._background.spawn(self._upkeep.log_figures)
 
     async def _follow_members(self) -> None:
-        is_new = await self.homes.own_entry.write()
-        self._background.spawn(self.homes.own_entry.keep)
+        is_new = await self.homes.member_registration.write()
+        self._background.spawn(self.homes.member_registration.keep_listed)
         if is_new:
             # Where this proxy was never listed, others may start at the same moment: read them all.
-            await asyncio.sleep(GATHER_MEMBERS_SECONDS)
+            await asyncio.sleep(BATCH_MEMBERS_SECONDS)
         self.views.follow_members()
 
     def _coordinate(self) -> None:
--- a/src/orchidwind/promoted/views/collection_watch.py
+++ b/src/orchidwind/promoted/views/collection_watch.py
@@ -123,7 +123,7 @@
                 self._view.log("watch_failed_unexpectedly", logging.ERROR, reason=repr(error))
                 await self._after_error(PlatformError(repr(error)))
 
-    def store_came_back(self) -> None:
+    def on_store_restored(self) -> None:
         """Read the whole collection now: the store was restored from an older copy.
 
         A pending call is cancelled, as its answer may be long in coming or not reflect the restored
--- a/src/orchidwind/promoted/views/followed_views.py
+++ b/src/orchidwind/promoted/views/followed_views.py
@@ -32,7 +32,7 @@
     QUOTA_SHARES,
     PeerViews,
 )
-from orchidwind.promoted.views.view_forms import (
+from orchidwind.promoted.views.view_conversion import (
     reported_configuration,
     reported_directory,
     reported_members,
@@ -52,7 +52,7 @@
 # How long to wait for further changes to the list of proxies after one, seconds. Many proxies may
 # change at the same time, and one answer of the store then holds several changes. Proxies of a site
 # start within 0.3 s of one another, and a new one gets work some seconds later in any case.
-GATHER_MEMBERS_SECONDS = 0.6
+BATCH_MEMBERS_SECONDS = 0.6
 # An instance that leaves receives work for this much longer, far below the directory's bound.
 _BATCH_DIRECTORY_SECONDS = 0.15
 # Rosters are read again before a change of primary, so no operation waits for this delay.
@@ -133,7 +133,7 @@
             reported_members,
         )
         source = self._ports.member_source
-        self._follow_with_peers(MEMBERS, source, self._network, peers, GATHER_MEMBERS_SECONDS)
+        self._follow_with_peers(MEMBERS, source, self._network, peers, BATCH_MEMBERS_SECONDS)
 
     def follow_directory(
         self, follower: CollectionFollower[DirectoryEntry], followers: ProxiesOf
@@ -199,7 +199,7 @@
     def _follow(self, watch: CollectionWatch[Any]) -> None:
         self.watches[watch.name] = watch
         self._metrics.watch_age(watch.name, lambda: watch.age)
-        self._ports.store_era.on_return(watch.store_came_back)
+        self._ports.store_era.on_return(watch.on_store_restored)
         self._spawn(watch.run)
 
     def evidence(self) -> dict[str, str]:
--- a/src/orchidwind/promoted/views/view_reporter.py
+++ b/src/orchidwind/promoted/views/view_reporter.py
@@ -31,7 +31,7 @@
     MEMBERS,
     QUOTA_SHARES,
 )
-from orchidwind.promoted.views.view_forms import configuration_view, quota_shares_view
+from orchidwind.promoted.views.view_conversion import configuration_view, quota_shares_view
 
 # A view with more items is sent only on explicit request: other proxies read it from the store,
 # which has the bandwidth. This many items are about 10 KB; sent to 30 proxies at once they take
--- a/src/orchidwind_bench/promoted/simulation/peers.py
+++ b/src/orchidwind_bench/promoted/simulation/peers.py
@@ -80,7 +80,7 @@
 
     def send(self, message: PeerMessage) -> None:
         """From the front to the home."""
-        self._carry(self.front, self.home, message, lambda: self._served.take(message))
+        self._carry(self.front, self.home, message, lambda: self._served.handle_message(message))
 
     def _send_back(self, message: PeerMessage) -> None:
         self._carry(self.home, self.front, message, lambda: self._on_message(message))
@@ -134,7 +134,7 @@
         for carrying in self._carrying:
             carrying.cancel()
         self._links.links.discard(self)
-        self._service.ended(self._served)
+        self._service.link_ended(self._served)
         self._on_lost(reason)
 
 
