--- a/src/orchidwind/promoted/core/answers.py
+++ b/src/orchidwind/promoted/core/answers.py
@@ -35,7 +35,7 @@
 
 def transaction_lost() -> RequestError:
     """Returns the error for a statement whose transaction is known to be rolled back."""
-    return RequestError(ErrorKind.TRANSACTION_LOST, "the transaction was rolled back")
+    return RequestError(ErrorKind.TRANSACTION_LOST, "nothing of the transaction is kept")
 
 
 def write_in_doubt() -> RequestError:
@@ -47,4 +47,4 @@
 
 def read_interrupted() -> RequestError:
     """Returns the error for an unanswered COMMIT of a transaction that only read."""
-    return RequestError(ErrorKind.READ_INTERRUPTED, "the connection was lost during a read")
+    return RequestError(ErrorKind.READ_INTERRUPTED, "the connection was lost in a read")
--- a/src/orchidwind/promoted/core/circuit_breaker.py
+++ b/src/orchidwind/promoted/core/circuit_breaker.py
@@ -119,13 +119,11 @@
 
     def refuse_without_instance(self, kind: ErrorKind, now: float) -> ImmediateRefusal | None:
         """Returns the refusal of a request for which no instance is known now, if any."""
-        return self._refuse(
-            Dependency.INSTANCE, kind, "no usable instance has been found for some time", now
-        )
+        return self._refuse(Dependency.INSTANCE, kind, "no instance has served for long", now)
 
     def refuse_unproven_read(self, now: float) -> ImmediateRefusal | None:
         """Returns the refusal of a read that needs a proof of leadership, if any."""
-        return self._refuse_unproven("leadership", now)
+        return self._refuse_unproven("its lead", now)
 
     def refuse_at_primary(
         self, leadership_proof: bool, oldest_write: float | None, now: float
@@ -139,15 +137,15 @@
         refusal = None
         commits = oldest_write is not None
         if leadership_proof or commits:
-            refusal = self._refuse_unproven("leadership" if leadership_proof else "commits", now)
+            refusal = self._refuse_unproven("its lead" if leadership_proof else "its commits", now)
         if refusal is not None or oldest_write is None:
             return refusal
         self.commit_waited(oldest_write, now)
         kind = ErrorKind.NO_PRIMARY
-        return self._refuse(Dependency.COMMIT, kind, "the primary confirms no commits", now)
+        return self._refuse(Dependency.COMMIT, kind, "it confirms no commits", now)
 
     def _refuse_unproven(self, subject: str, now: float) -> ImmediateRefusal | None:
-        reason = f"the primary's {subject} cannot be proven by this proxy"
+        reason = f"{subject} cannot be proven here"
         return self._refuse(Dependency.LEAD_PROOF, ErrorKind.NO_PRIMARY, reason, now)
 
     def _refuse(
--- a/src/orchidwind/promoted/group/connection_requests.py
+++ b/src/orchidwind/promoted/group/connection_requests.py
@@ -56,7 +56,7 @@
         if waiting is not None:
             error = RequestError(
                 ErrorKind.OVERLOADED,
-                "too many requests are waiting for a connection",
+                "too many requests wait",
                 retry_after_milliseconds=int(refusal.retry_after * 1000),
             )
             waiting.granted.set_exception(error)
--- a/src/orchidwind/promoted/group/connections.py
+++ b/src/orchidwind/promoted/group/connections.py
@@ -84,7 +84,7 @@
         except TimeoutError as error:
             pool.cancel(waiting.ticket)
             raise RequestError(
-                ErrorKind.DEADLINE_PASSED, f"no connection to {instance} became free in time"
+                ErrorKind.DEADLINE_PASSED, f"no connection to {instance} was free in time"
             ) from error
         finally:
             self._waiting.remove(waiting.ticket)
--- a/src/orchidwind/promoted/peers/forwarding.py
+++ b/src/orchidwind/promoted/peers/forwarding.py
@@ -155,9 +155,7 @@
     def _timed_out(self, command: Command) -> RequestError:
         """Return the error for a command that the home did not answer in time."""
         lost = self._handle_lost_home(command, sent=True)
-        return lost or RequestError(
-            ErrorKind.STATEMENT_TIMEOUT, "the home proxy did not answer in time"
-        )
+        return lost or RequestError(ErrorKind.STATEMENT_TIMEOUT, "the home did not answer in time")
 
     def _handle_lost_home(self, command: Command, sent: bool) -> RequestError | None:
         """Handle the loss of a command's home.
--- a/src/orchidwind/promoted/peers/remote_session.py
+++ b/src/orchidwind/promoted/peers/remote_session.py
@@ -93,7 +93,7 @@
         context: CommandContext | None = None
         try:
             if group is None:
-                raise RequestError(ErrorKind.NO_HOME, "the home proxy does not know the group yet")
+                raise RequestError(ErrorKind.NO_HOME, "the home does not know the group yet")
             now = self._loop.time()
             context = context_at_home(message, self._session, group.state, now)
             self._group = group
@@ -107,7 +107,7 @@
         except Exception as error:  # a bug in this process fails one command, not all
             log_event("peer_command_failed", level=logging.ERROR, reason=repr(error))
             self._fail_transaction()
-            unknown = RequestError(ErrorKind.OUTCOME_UNKNOWN, "internal error of the home proxy")
+            unknown = RequestError(ErrorKind.OUTCOME_UNKNOWN, "the home failed")
             return answer_with_error(message, self._session, context, unknown)
         if self._runner.caller_gone:
             self._fail_transaction()
