--- a/src/orchidwind/elected/postgres/__init__.py
+++ b/src/orchidwind/elected/postgres/__init__.py
@@ -1,1 +1,1 @@
-"""The PostgreSQL protocol, version 3, towards callers and towards back ends."""
+"""Server side of the PostgreSQL protocol, version 3, and the message codec."""
--- a/src/orchidwind/elected/postgres/executor.py
+++ b/src/orchidwind/elected/postgres/executor.py
@@ -1,6 +1,6 @@
-"""What is behind a server session: the interface between the protocol and its work.
+"""The interface between a protocol session and the code that runs its statements.
 
-For: `server_session.py`, which asks, and the front and the stand-in database, which answer.
+`server_session.py` calls it; the front proxy and the stand-in database implement it.
 """
 
 from __future__ import annotations
@@ -14,37 +14,37 @@
 
 
 class ResultSink(ABC):
-    """Takes an answer piece by piece."""
+    """Receives the result of a statement piece by piece."""
 
     @abstractmethod
     async def columns(self, columns: tuple[Column, ...]) -> None:
-        """The columns of the result that follows."""
+        """Receive the column descriptions of the result that follows."""
 
     @abstractmethod
     async def rows(self, encoded: bytes, count: int) -> None:
-        """`count` rows as encoded DataRow messages; returns when more may come."""
+        """Receive `count` rows as encoded DataRow messages; returns when more may be sent."""
 
     @abstractmethod
     async def complete(self, command_tag: str) -> None:
-        """One statement ended; an empty tag stands for an empty query."""
+        """Receive the command tag of a finished statement; an empty tag marks an empty query."""
 
 
 class NullSink(ResultSink):
-    """Drops an answer."""
+    """Discards a result."""
 
     async def columns(self, columns: tuple[Column, ...]) -> None:
-        """Nothing is shown."""
+        """Discard the column descriptions."""
 
     async def rows(self, encoded: bytes, count: int) -> None:
-        """Nothing is shown."""
+        """Discard the rows."""
 
     async def complete(self, command_tag: str) -> None:
-        """Nothing is shown."""
+        """Discard the command tag."""
 
 
 @dataclass(slots=True)
 class SessionParameters:
-    """What a caller said at start-up."""
+    """The parameters of a caller's start-up message."""
 
     user: str
     database: str
@@ -59,20 +59,23 @@
 
     @abstractmethod
     async def execute(self, statement: Statement, sink: ResultSink) -> None:
-        """Run a statement; raises RequestError where it fails."""
+        """Run a statement and pass its result to `sink`; raises RequestError if it fails."""
 
     @abstractmethod
     async def describe(self, sql: str, parameter_types: tuple[int, ...]) -> Description:
-        """Tell the types of a statement; raises RequestError where it is wrong."""
+        """Return the parameter and column types of a statement.
+
+        Raises RequestError if the statement is invalid.
+        """
 
     @abstractmethod
     def cancel(self) -> None:
-        """Stop the running statement soon, if there is one."""
+        """Request that the running statement, if any, is stopped."""
 
     @abstractmethod
     def mark_failed(self) -> None:
-        """An error was answered inside an open transaction without reaching the executor."""
+        """Mark an open transaction as failed after an error that did not come from the executor."""
 
     @abstractmethod
     async def close(self) -> None:
-        """The session ended: give back everything."""
+        """Release all resources of the session."""
--- a/src/orchidwind/elected/postgres/extended_query.py
+++ b/src/orchidwind/elected/postgres/extended_query.py
@@ -1,6 +1,6 @@
-"""The extended query protocol of one session: Parse, Bind, Describe, Execute, Close up to a Sync.
+"""The extended query protocol of one session: Parse, Bind, Describe, Execute and Close messages.
 
-Owns the messages gathered since the last Sync, and the caller's statements and portals by name.
+Holds the messages received since the last Sync, and the caller's named statements and portals.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from orchidwind.elected.postgres.wire import codec
 from orchidwind.shared.core.errors import RequestError
 
-# Messages without Sync; bounds memory.
+# Limits the memory for messages that wait for a Sync or Flush.
 _MAXIMUM_BATCH_MESSAGES = 20_000
 EXTENDED_TAGS = frozenset(
     (codec.PARSE, codec.BIND, codec.DESCRIBE, codec.EXECUTE, codec.CLOSE),
@@ -22,7 +22,7 @@
 
 
 class ExtendedQuery:
-    """Gathers messages and runs them together."""
+    """Queues extended-query messages and runs them at the next Sync or Flush."""
 
     def __init__(
         self,
@@ -38,24 +38,27 @@
         self._skip_until_sync = False
 
     @property
-    def waits_for_sync(self) -> bool:
-        """Whether messages were gathered that have not run."""
+    def has_pending_messages(self) -> bool:
+        """Whether messages are queued that have not run yet."""
         return bool(self._batch)
 
     def add(self, tag: bytes, body: bytes) -> None:
-        """Gather a message; raises ProtocolViolation where there are too many."""
+        """Queue a message; raises ProtocolViolation if too many are queued."""
         self._batch.append((tag, body))
         if len(self._batch) > _MAXIMUM_BATCH_MESSAGES:
             raise wire.ProtocolViolation("too many messages without Sync")
 
-    def end(self) -> None:
-        """The session is ready for the next messages: an error before skips none of them."""
+    def on_ready_for_query(self) -> None:
+        """Stop skipping messages after an error; drop portals outside a transaction.
+
+        Called before each ReadyForQuery message.
+        """
         self._skip_until_sync = False
         if self._executor.transaction_status == wire.TRANSACTION_IDLE:
             self._portals.end_transaction()
 
     async def run(self, at_sync: bool) -> None:
-        """Run the messages up to a Sync or Flush.
+        """Run the queued messages; `at_sync` is False for a Flush.
 
         Several Execute messages before one Sync form one implicit transaction (PostgreSQL manual,
         "Extended Query"), so they are wrapped in an explicit one.
@@ -71,22 +74,22 @@
         )
         try:
             if implicit:
-                await self._control("BEGIN")
+                await self._run_control("BEGIN")
             for index, (tag, body) in enumerate(batch):
                 following = batch[index + 1] if index + 1 < len(batch) else None
-                await self._extended(tag, body, following)
+                await self._handle_message(tag, body, following)
             if implicit:
-                await self._control("COMMIT")
+                await self._run_control("COMMIT")
         except RequestError as error:
             self._skip_until_sync = not at_sync
             self._answer_error(error)
             if implicit and self._executor.transaction_status != wire.TRANSACTION_IDLE:
-                await self._control("ROLLBACK")
+                await self._run_control("ROLLBACK")
 
-    async def _control(self, sql: str) -> None:
+    async def _run_control(self, sql: str) -> None:
         await self._executor.execute(Statement(sql, simple=True), NullSink())
 
-    async def _extended(
+    async def _handle_message(
         self, tag: bytes, body: bytes, following: tuple[bytes, bytes] | None
     ) -> None:
         if tag == codec.PARSE:
@@ -96,7 +99,7 @@
             self._portals.bind(body)
             self._out.add(codec.make_bind_complete())
         elif tag == codec.DESCRIBE:
-            if not self._describe_with_execute(body, following):
+            if not self._defer_describe(body, following):
                 await self._describe(body)
         elif tag == codec.EXECUTE:
             await self._execute(body)
@@ -104,8 +107,12 @@
             self._portals.close(body)
             self._out.add(codec.make_close_complete())
 
-    def _describe_with_execute(self, body: bytes, following: tuple[bytes, bytes] | None) -> bool:
-        """A portal that is executed next is described by its own result, without a round trip."""
+    def _defer_describe(self, body: bytes, following: tuple[bytes, bytes] | None) -> bool:
+        """Leave the description of a portal to the Execute message that follows, if there is one.
+
+        The result then supplies the columns, without a separate call of `Executor.describe`.
+        Returns whether the description was left to it.
+        """
         target = codec.parse_describe(body)
         if target.kind != codec.TARGET_PORTAL or following is None:
             return False
@@ -115,7 +122,7 @@
         portal = self._portals.portal(target.name)
         if portal.started or codec.parse_execute(execute).max_rows > 0:
             return False
-        portal.describe_next = True
+        portal.describe_on_execute = True
         return True
 
     async def _describe(self, body: bytes) -> None:
@@ -139,7 +146,7 @@
         if execute.max_rows > 0 or portal.started:
             await self._execute_limited(portal, execute.max_rows)
             return
-        describe, portal.describe_next = portal.describe_next, False
+        describe, portal.describe_on_execute = portal.describe_on_execute, False
         sink = StreamSink(self._out, portal.result_formats, describe, no_data=describe)
         await self._executor.execute(portal.statement, sink)
 
@@ -147,11 +154,11 @@
         if not portal.started:
             portal.started = True
             await self._executor.execute(portal.statement, PortalSink(portal))
-        count = limit if limit > 0 else len(portal.rest)
-        part, portal.rest = portal.rest[:count], portal.rest[count:]
+        count = limit if limit > 0 else len(portal.remaining_rows)
+        part, portal.remaining_rows = portal.remaining_rows[:count], portal.remaining_rows[count:]
         self._out.add(b"".join(part))
-        await self._out.make_room()
-        if portal.rest:
+        await self._out.flush_if_full()
+        if portal.remaining_rows:
             self._out.add(codec.make_portal_suspended())
         elif portal.command_tag:
             self._out.add(codec.make_command_complete(portal.command_tag))
--- a/src/orchidwind/elected/postgres/listener.py
+++ b/src/orchidwind/elected/postgres/listener.py
@@ -1,7 +1,6 @@
-"""Accepts callers' connections.
+"""Accepts callers' connections and runs a `ServerSession` for each.
 
-Owns: the table of process ids and secrets that cancel requests need. Relies on: `server_session.py`
-for each connection.
+Holds the sessions by process id, so that cancel requests find them.
 """
 
 from __future__ import annotations
@@ -16,7 +15,7 @@
 from orchidwind.shared.core.errors import ErrorKind, RequestError
 from orchidwind.shared.sockets import configure_socket
 
-# The protocol's process id is a signed number of 32 bits.
+# Process ids are signed 32-bit integers in the protocol.
 MAXIMUM_PROCESS_ID = 2**31 - 1
 
 
@@ -38,15 +37,15 @@
         self._next_process_id = 1
 
     async def handle_stream(self, stream: IOStream, address: tuple[str, int]) -> None:
-        """Serve one connection to its end."""
-        configure_socket(stream.socket)
+        """Serve one connection until it closes."""
+        watchful(stream.socket)
         if len(self.sessions) >= self.maximum_connections:
             error = RequestError(ErrorKind.TOO_MANY_CALLERS, "too many connections to this proxy")
             self._on_error(error)
             await stream.write(encode_error(error))
             stream.close()
             return
-        session = ServerSession(stream, self._host, self._draw_process_id(), self._on_error)
+        session = ServerSession(stream, self._host, self._allocate_process_id(), self._on_error)
         self.sessions[session.process_id] = session
         try:
             await session.run()
@@ -54,15 +53,15 @@
             del self.sessions[session.process_id]
 
     def cancel(self, process_id: int, secret: int) -> None:
-        """Cancel the running statement of a session, if the secret fits."""
+        """Cancel the running statement of a session if the secret matches."""
         session = self.sessions.get(process_id)
         if session is None or session.secret != secret or session.executor is None:
             return
         session.executor.cancel()
 
-    def _draw_process_id(self) -> int:
+    def _allocate_process_id(self) -> int:
         while self._next_process_id in self.sessions:
             self._next_process_id += 1
-        drawn = self._next_process_id
-        self._next_process_id = drawn % MAXIMUM_PROCESS_ID + 1
-        return drawn
+        allocated = self._next_process_id
+        self._next_process_id = allocated % MAXIMUM_PROCESS_ID + 1
+        return allocated
--- a/src/orchidwind/elected/postgres/login.py
+++ b/src/orchidwind/elected/postgres/login.py
@@ -1,7 +1,7 @@
-"""The start of a caller's connection: start-up packet, cancel request, password, greeting.
+"""Start-up phase of a caller's connection: start-up packet, cancel request, password, greeting.
 
-Owns the order of its messages (PostgreSQL manual, "Message Flow, Start-up"). Users and passwords
-are the host's.
+The order of the messages follows the PostgreSQL manual, "Message Flow, Start-up". The session host
+supplies the users and their password verifiers.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 
 
 class Login:
-    """Logs one caller in."""
+    """Runs the start-up phase of one connection."""
 
     def __init__(self, stream: IOStream, reader: MessageReader, host: SessionHost) -> None:
         self._stream = stream
@@ -42,7 +42,7 @@
         self._host = host
 
     async def run(self) -> Executor | None:
-        """The executor of the caller's session, None after a cancel request.
+        """Authenticate the caller; returns its session's executor, or None after a cancel request.
 
         Raises RequestError, ProtocolViolation, StreamClosedError.
         """
@@ -61,8 +61,8 @@
         return await self._host.open(parameters)
 
     async def greet(self, process_id: int, secret: int) -> None:
-        """Let the caller begin; it cancels statements by the process id and the secret."""
-        self._reader.allow_long_messages()
+        """Send AuthenticationOk, parameters, cancellation key and the first ReadyForQuery."""
+        self._reader.raise_message_limit()
         greeting = bytearray(codec.make_authentication_ok())
         for name, value in _FIXED_PARAMETERS.items():
             greeting += codec.make_parameter_status(name, value)
--- a/src/orchidwind/elected/postgres/output.py
+++ b/src/orchidwind/elected/postgres/output.py
@@ -1,7 +1,6 @@
-"""Writes answers to a caller: gathered in a buffer, as they come, or held for a portal.
+"""Writes results to a caller: through a buffer, or kept in a portal for limited Execute messages.
 
-Owns: what is not sent yet. Relies on: a caller that reads; one that does not is held back by the
-size of the buffer.
+A caller that reads slowly delays further rows once the output buffer is full.
 """
 
 from __future__ import annotations
@@ -14,49 +13,49 @@
 from orchidwind.elected.postgres.wire import Column, codec
 from orchidwind.shared.core.errors import ErrorKind, RequestError
 
-# Bytes for a caller that wait before more rows are taken; bounds memory.
+# Buffered bytes at which the buffer is sent before more rows are accepted; limits memory.
 _WRITE_HIGH_WATER_BYTES = 256 * 1024
-# Rows that a portal fetched in parts may hold; bounds memory.
-_SUSPENDED_ROWS_LIMIT = 10_000
+# Rows that a portal with a row limit may hold; limits memory.
+_MAXIMUM_PORTAL_ROWS = 10_000
 
 
 class OutputBuffer:
-    """Gathers messages for a caller, so that an answer leaves in few writes."""
+    """Buffers messages for a caller, so that a response takes few writes."""
 
     def __init__(self, stream: IOStream) -> None:
         self._stream = stream
         self._data = bytearray()
 
     def add(self, message: bytes) -> None:
-        """Gather a message."""
+        """Add a message to the buffer."""
         self._data += message
 
-    async def make_room(self) -> None:
-        """Send what was gathered once it is much; wait while the caller reads slowly."""
+    async def flush_if_full(self) -> None:
+        """Send the buffer if it exceeds its limit, and wait until the write completes."""
         if len(self._data) >= _WRITE_HIGH_WATER_BYTES:
             await self.flush()
 
     async def flush(self) -> None:
-        """Send what was gathered."""
+        """Send the buffer and wait until the write completes."""
         if self._data:
-            await self._stream.write(self._take())
+            await self._stream.write(self._drain())
 
     def flush_now(self) -> None:
-        """Send what was gathered without waiting."""
+        """Send the buffer without waiting; does nothing on a closed stream."""
         if self._data and not self._stream.closed():
-            self._stream.write(self._take())
+            self._stream.write(self._drain())
 
-    def _take(self) -> bytes:
+    def _drain(self) -> bytes:
         data = bytes(self._data)
         self._data.clear()
         return data
 
 
 class StreamSink(ResultSink):
-    """Passes an answer on to the caller as it comes.
+    """Passes a result on to the caller as it arrives.
 
-    `describe` writes the columns before the rows; `no_data` says so where there are none, as a
-    Describe message wants.
+    With `describe`, RowDescription is written before the rows. With `no_data`, NoData is written if
+    the result has no columns, as the response to a Describe message requires.
     """
 
     def __init__(
@@ -68,15 +67,15 @@
         self._no_data = no_data
 
     async def columns(self, columns: tuple[Column, ...]) -> None:
-        """Write RowDescription where the protocol asks for it."""
+        """Write RowDescription if it was requested."""
         self._no_data = False
         if self._describe:
             self._out.add(wire.row_description(columns, self._formats))
 
     async def rows(self, encoded: bytes, count: int) -> None:
-        """Pass rows on."""
+        """Write rows; waits if the buffer is full."""
         self._out.add(encoded)
-        await self._out.make_room()
+        await self._out.flush_if_full()
 
     async def complete(self, command_tag: str) -> None:
         """Write CommandComplete or EmptyQueryResponse."""
@@ -89,30 +88,30 @@
 
 
 class PortalSink(ResultSink):
-    """Keeps a bounded result, of which a limited Execute sends only a part."""
+    """Keeps a bounded result in a portal, for Execute messages with a row limit."""
 
     def __init__(self, portal: Portal) -> None:
         self._portal = portal
 
     async def columns(self, columns: tuple[Column, ...]) -> None:
-        """Execute does not describe."""
+        """Discard the column descriptions: Execute does not send them."""
 
     async def rows(self, encoded: bytes, count: int) -> None:
-        """Keep rows up to the bound."""
-        self._portal.rest.extend(split_messages(encoded))
-        if len(self._portal.rest) > _SUSPENDED_ROWS_LIMIT:
+        """Keep the rows; raises RequestError if the portal would hold too many."""
+        self._portal.remaining_rows.extend(split_messages(encoded))
+        if len(self._portal.remaining_rows) > _MAXIMUM_PORTAL_ROWS:
             raise RequestError(
                 ErrorKind.NOT_SUPPORTED,
-                f"a portal with a row limit may hold {_SUSPENDED_ROWS_LIMIT} rows at most",
+                f"a portal with a row limit may hold {_MAXIMUM_PORTAL_ROWS} rows at most",
             )
 
     async def complete(self, command_tag: str) -> None:
-        """Keep the tag for the last part."""
+        """Keep the command tag; it is sent after the last rows."""
         self._portal.command_tag = command_tag
 
 
 def split_messages(encoded: bytes) -> list[bytes]:
-    """Cut a run of messages into single ones."""
+    """Split concatenated protocol messages into single ones."""
     messages = []
     offset = 0
     while offset < len(encoded):
--- a/src/orchidwind/elected/postgres/portals.py
+++ b/src/orchidwind/elected/postgres/portals.py
@@ -1,6 +1,7 @@
 """Prepared statements and portals of one session of the extended query protocol.
 
-For: `extended_query.py`. Owns: their names, and the rows of a portal that was not read to its end.
+Used by `extended_query.py`. Holds them by name, with the rows of portals not yet fetched
+completely.
 """
 
 from __future__ import annotations
@@ -11,14 +12,14 @@
 from orchidwind.elected.postgres.wire import codec
 from orchidwind.shared.core.errors import ErrorKind, RequestError
 
-# A caller's named statements; bounds memory.
+# Limit of prepared statements in one session; limits memory.
 MAXIMUM_PREPARED_STATEMENTS = 2_000
-_OID_MASK = 0xFFFFFFFF  # the codec reads type identifiers as signed
+_OID_MASK = 0xFFFFFFFF  # the codec reads type OIDs as signed integers
 
 
 @dataclass(slots=True)
 class PreparedStatement:
-    """A parsed statement; its description is fetched when it is first asked for."""
+    """A parsed statement; its description is fetched at the first Describe."""
 
     sql: str
     parameter_types: tuple[int, ...]
@@ -27,26 +28,26 @@
 
 @dataclass(slots=True)
 class Portal:
-    """A bound statement, and the rows that a limited Execute left over."""
+    """A bound statement, and the rows that an Execute with a row limit has not sent yet."""
 
     prepared: PreparedStatement
     statement: Statement
     result_formats: tuple[int, ...]
     started: bool = False
-    rest: list[bytes] = field(default_factory=list)
+    remaining_rows: list[bytes] = field(default_factory=list)
     command_tag: str = ""
-    describe_next: bool = False
+    describe_on_execute: bool = False
 
 
 class PortalTable:
-    """The names that a session gave to its statements and portals."""
+    """The prepared statements and portals of a session, by name."""
 
     def __init__(self) -> None:
         self.statements: dict[str, PreparedStatement] = {}
         self.portals: dict[str, Portal] = {}
 
     def parse(self, body: bytes) -> None:
-        """Take a Parse message."""
+        """Create a prepared statement from the body of a Parse message; raises RequestError."""
         parsed = codec.parse_parse(body)
         if parsed.statement_name and parsed.statement_name in self.statements:
             raise RequestError(
@@ -60,7 +61,7 @@
         self.statements[parsed.statement_name] = PreparedStatement(parsed.sql, types)
 
     def statement(self, name: str) -> PreparedStatement:
-        """Look up a prepared statement."""
+        """Look up a prepared statement; raises RequestError if it does not exist."""
         prepared = self.statements.get(name)
         if prepared is None:
             raise RequestError(
@@ -71,7 +72,7 @@
         return prepared
 
     def portal(self, name: str) -> Portal:
-        """Look up a portal."""
+        """Look up a portal; raises RequestError if it does not exist."""
         portal = self.portals.get(name)
         if portal is None:
             raise RequestError(
@@ -80,7 +81,7 @@
         return portal
 
     def bind(self, body: bytes) -> None:
-        """Take a Bind message."""
+        """Create a portal from the body of a Bind message; raises RequestError."""
         bound = codec.parse_bind(body)
         prepared = self.statement(bound.statement_name)
         formats = tuple(bound.result_format_codes)
@@ -101,7 +102,7 @@
         self.portals[bound.portal_name] = Portal(prepared, statement, formats)
 
     def close(self, body: bytes) -> None:
-        """Take a Close message; closing an unknown name is no error."""
+        """Close the target of a Close message; an unknown name is no error."""
         target = codec.parse_close(body)
         if target.kind == codec.TARGET_STATEMENT:
             self.statements.pop(target.name, None)
@@ -109,5 +110,5 @@
             self.portals.pop(target.name, None)
 
     def end_transaction(self) -> None:
-        """Portals live until the end of their transaction."""
+        """Drop all portals, which live until the end of their transaction."""
         self.portals.clear()
--- a/src/orchidwind/elected/postgres/scram.py
+++ b/src/orchidwind/elected/postgres/scram.py
@@ -1,4 +1,4 @@
-"""SCRAM-SHA-256 towards callers (RFC 5802, RFC 7677), on the `scramp` library."""
+"""Server side of SCRAM-SHA-256 (RFC 5802, RFC 7677), using the `scramp` library."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 # PostgreSQL's defaults (SCRAM_SHA_256_DEFAULT_ITERATIONS, SCRAM_DEFAULT_SALT_LEN).
 _ITERATIONS = 4096
 _SALT_BYTES = 16
-_FIELDS_BEFORE_BARE = 2
+_GS2_HEADER_FIELDS = 2
 
 
 class ScramVerifier:
-    """What a server keeps of a password: never the password itself.
+    """The salted keys derived from a password; the password itself is not kept.
 
-    Made once a user, since the key derivation costs milliseconds.
+    Created once per user, because the key derivation takes milliseconds.
     """
 
     def __init__(self, password: str) -> None:
@@ -29,21 +29,21 @@
 
 
 class ScramExchange:
-    """One exchange with one caller."""
+    """One authentication exchange with one caller."""
 
     def __init__(self, verifier: ScramVerifier) -> None:
         self._server = ScramMechanism(MECHANISM).make_server(lambda _user: verifier.parts)
 
     def first(self, client_first: str) -> str | None:
-        """Answer the client's first message; None where it is malformed.
+        """Return the response to the client's first message, or None if that is malformed.
 
         PostgreSQL's clients leave the user name empty, because the start-up message named it. The
-        library asks for one, so a placeholder passes its parser; the text that both sides sign is
-        then put back as the client wrote it.
+        library requires one, so a placeholder is parsed in its place; the text that both sides sign
+        is then restored to what the client sent.
         """
         try:
             fields = client_first.split(",")
-            if len(fields) > _FIELDS_BEFORE_BARE and fields[2] == "n=":
+            if len(fields) > _GS2_HEADER_FIELDS and fields[2] == "n=":
                 patched = [*fields[:2], f"n={_PLACEHOLDER_USER}", *fields[3:]]
                 self._server.set_client_first(",".join(patched))
                 self._server.client_first_bare = ",".join(fields[2:])
@@ -51,12 +51,12 @@
                 self._server.set_client_first(client_first)
             return str(self._server.get_server_first())
         except (ScramException, ValueError):
-            return None  # answered, and counted, as a wrong password
+            return None  # reported and counted as a wrong password
 
     def final(self, client_final: str) -> str | None:
-        """The server's proof, or None where the client's proof is wrong."""
+        """Return the server's signature, or None if the client's proof is wrong."""
         try:
             self._server.set_client_final(client_final)
             return str(self._server.get_server_final())
         except (ScramException, ValueError):
-            return None  # answered, and counted, as a wrong password
+            return None  # reported and counted as a wrong password
--- a/src/orchidwind/elected/postgres/server_session.py
+++ b/src/orchidwind/elected/postgres/server_session.py
@@ -1,8 +1,8 @@
 """One caller's connection: the server side of the PostgreSQL protocol on a tornado stream.
 
-The session reads messages, hands statements to an `Executor`, and writes the answers. It owns when
-the connection ends, and relies on `login.py`, `message_reader.py` and `extended_query.py`. It knows
-nothing of what is behind the executor: the proxy and the stand-in database both use it.
+The session reads messages, passes statements to an `Executor`, writes the responses, and decides
+when the connection ends. It does not depend on the implementation of the executor: the proxy and
+the stand-in database both use it.
 """
 
 from __future__ import annotations
@@ -26,16 +26,16 @@
 from orchidwind.elected.postgres.wire import codec
 from orchidwind.shared.core.errors import ErrorKind, RequestError
 
-# From the connection to the end of the login; silent connections are closed after it.
+# Time limit from the connection to the end of the login; it also closes silent connections.
 _LOGIN_SECONDS = 10.0
-# What a caller may take to read that the proxy stops.
-_FAREWELL_SECONDS = 2.0
-# The protocol's secret is a signed number of 32 bits.
+# Time for a caller to read the shutdown message before the connection is closed.
+_SHUTDOWN_NOTICE_SECONDS = 2.0
+# The secret is a signed 32-bit integer in the protocol.
 _SECRET_BITS = 31
 
 
 class ServerSession:
-    """Drives one connection from its first byte to its end."""
+    """Serves one connection from the start-up packet until it closes."""
 
     def __init__(
         self,
@@ -52,10 +52,10 @@
         self._stream = stream
         self._host = host
         self._on_error = on_error
-        self._reader = MessageReader(stream, lambda: self.busy, self._on_gone)
+        self._reader = MessageReader(stream, lambda: self.busy, self._on_disconnect)
         self._extended: ExtendedQuery | None = None
         self._out = OutputBuffer(stream)
-        self._said_farewell = False
+        self._shutdown_announced = False
         self._closing: asyncio.Task[None] | None = None
 
     async def run(self) -> None:
@@ -67,7 +67,7 @@
                 self._extended = ExtendedQuery(executor, self._out, self._answer_error)
                 await self._serve(executor, self._extended)
         except StreamClosedError:
-            pass  # how each connection ends; nobody is left to answer
+            pass  # the connection is closed, so no response can be sent
         except TimeoutError:
             self._fail(RequestError(ErrorKind.PROTOCOL_VIOLATION, "the login took too long"))
         except wire.ProtocolViolation as violation:
@@ -82,35 +82,36 @@
             if self.executor is not None:
                 await self.executor.close()
 
-    def _on_gone(self) -> None:
-        """The caller went while its statement ran: nobody waits for it any longer."""
+    def _on_disconnect(self) -> None:
+        """Close the executor after the caller disconnected during a statement."""
         if self.busy and self.executor is not None and self._closing is None:
             self._closing = asyncio.get_running_loop().create_task(self.executor.close())
 
     def close(self) -> None:
-        """Cut the connection."""
+        """Close the connection at once."""
         self._stream.close()
 
     def stop(self) -> None:
-        """Planned stop: end now if nothing is in progress, else when it has ended."""
+        """Stop the session as soon as no request or transaction is in progress."""
         self.stop_when_idle = True
-        if self._may_stop() and not self._said_farewell:
-            self._say_farewell()
+        if self._is_idle() and not self._shutdown_announced:
+            self._announce_shutdown()
 
-    def _say_farewell(self) -> None:
-        """Tell the caller that the proxy stops, and close only this side of the connection.
+    def _announce_shutdown(self) -> None:
+        """Tell the caller that the proxy stops, and close only the sending side of the connection.
 
-        A request may be on its way. Closing both sides would reset the connection, and the caller
-        could not know whether the request ran; so it reads this message as the answer instead.
+        A request may be in transit. Closing both sides would reset the connection, and the caller
+        could not tell whether that request ran; with the receiving side open, the caller reads this
+        message as the response.
         """
-        self._said_farewell = True
+        self._shutdown_announced = True
         self._fail(RequestError(ErrorKind.PROXY_STOPPING, "the proxy is stopping"))
-        asyncio.get_running_loop().call_later(_FAREWELL_SECONDS, self._stream.close)
+        asyncio.get_running_loop().call_later(_SHUTDOWN_NOTICE_SECONDS, self._stream.close)
         with contextlib.suppress(OSError):
             self._stream.socket.shutdown(socket.SHUT_WR)
 
-    def _may_stop(self) -> bool:
-        if self.busy or (self._extended is not None and self._extended.waits_for_sync):
+    def _is_idle(self) -> bool:
+        if self.busy or (self._extended is not None and self._extended.has_pending_messages):
             return False
         return self.executor is None or self.executor.transaction_status == wire.TRANSACTION_IDLE
 
@@ -121,7 +122,7 @@
 
     async def _log_in(self) -> Executor | None:
         login = Login(self._stream, self._reader, self._host)
-        # Held by the session before the greeting, so that it is closed if that fails.
+        # Stored before the greeting, so that the executor is closed if the greeting fails.
         self.executor = await login.run()
         if self.executor is not None:
             await login.greet(self.process_id, self.secret)
@@ -129,16 +130,16 @@
 
     async def _serve(self, executor: Executor, extended: ExtendedQuery) -> None:
         while True:
-            if self.stop_when_idle and self._may_stop() and not self._said_farewell:
-                self._say_farewell()
+            if self.stop_when_idle and self._is_idle() and not self._shutdown_announced:
+                self._announce_shutdown()
             tag, body = await self._reader.message()
-            if self._said_farewell:
+            if self._shutdown_announced:
                 continue
             if tag == codec.TERMINATE:
                 return
             self.busy = True
-            if tag in _RUNNING_TAGS:
-                self._reader.watch_while_busy()
+            if tag in _EXECUTING_TAGS:
+                self._reader.read_while_busy()
             try:
                 await self._dispatch(executor, extended, tag, body)
             except (ValueError, IndexError) as error:
@@ -151,10 +152,10 @@
     ) -> None:
         if tag == codec.QUERY:
             await self._simple_query(executor, body)
-            await self._ready(executor, extended)
+            await self._send_ready(executor, extended)
         elif tag == codec.SYNC:
             await extended.run(at_sync=True)
-            await self._ready(executor, extended)
+            await self._send_ready(executor, extended)
         elif tag == codec.FLUSH:
             await extended.run(at_sync=False)
             await self._out.flush()
@@ -163,8 +164,8 @@
         elif tag not in (codec.COPY_DATA, codec.COPY_DONE, codec.COPY_FAIL):
             raise wire.ProtocolViolation(f"unexpected message {tag!r}")
 
-    async def _ready(self, executor: Executor, extended: ExtendedQuery) -> None:
-        extended.end()
+    async def _send_ready(self, executor: Executor, extended: ExtendedQuery) -> None:
+        extended.on_ready_for_query()
         self._out.add(codec.make_ready_for_query(executor.transaction_status))
         await self._out.flush()
 
@@ -182,11 +183,11 @@
         self._out.add(encode_error(error))
 
 
-_RUNNING_TAGS = frozenset((codec.QUERY, codec.SYNC, codec.FLUSH))
+_EXECUTING_TAGS = frozenset((codec.QUERY, codec.SYNC, codec.FLUSH))
 
 
 def encode_error(error: RequestError) -> bytes:
-    """ErrorResponse of a typed error."""
+    """Encode a RequestError as an ErrorResponse message."""
     return wire.error_response(
         error.severity, error.sqlstate, error.message, error.detail, error.hint()
     )
--- a/src/orchidwind/elected/postgres/session_host.py
+++ b/src/orchidwind/elected/postgres/session_host.py
@@ -1,6 +1,6 @@
-"""What the sessions of a listener ask of the program that listens.
+"""The interface between a listener's sessions and the program that runs the listener.
 
-For: `login.py` and `server_session.py`; the daemon and the stand-in database answer.
+`login.py` calls it; the daemon and the stand-in database implement it.
 """
 
 from __future__ import annotations
@@ -12,11 +12,14 @@
 
 
 class SessionHost(ABC):
-    """What a listener gives to its sessions."""
+    """Authenticates users, opens sessions and handles cancel requests."""
 
     @abstractmethod
     def verifier(self, user: str) -> ScramVerifier | None:
-        """The password verifier of a user; None lets the user in without a password."""
+        """Return the password verifier of a user, or None if the user has none.
+
+        A user that `knows_user` accepts and that has no verifier logs in without a password.
+        """
 
     @abstractmethod
     def knows_user(self, user: str) -> bool:
@@ -24,8 +27,8 @@
 
     @abstractmethod
     async def open(self, parameters: SessionParameters) -> Executor:
-        """Open a session; raises RequestError where it is refused."""
+        """Open a session; raises RequestError if it is refused."""
 
     @abstractmethod
     def cancel(self, process_id: int, secret: int) -> None:
-        """Take a cancel request from another connection."""
+        """Handle a cancel request, which arrives on a connection of its own."""
--- a/src/orchidwind/elected/postgres/startup.py
+++ b/src/orchidwind/elected/postgres/startup.py
@@ -1,4 +1,4 @@
-"""Reads the parameters of a start-up message."""
+"""Parses the parameters of a start-up message."""
 
 from __future__ import annotations
 
@@ -7,7 +7,10 @@
 
 
 def session_parameters(parameters: dict[str, str]) -> SessionParameters:
-    """Who connects, to what, and with which options; raises ProtocolViolation."""
+    """Extract user, database, application name and options.
+
+    Raises ProtocolViolation if the user name is missing.
+    """
     user = parameters.get("user", "")
     if not user:
         raise wire.ProtocolViolation("no user name in the start-up message")
@@ -22,7 +25,7 @@
 
 
 def _parse_options(text: str) -> list[tuple[str, str]]:
-    """Read `-c name=value` pairs, as libpq's `options` carries them."""
+    """Parse the `-c name=value` pairs of libpq's `options` parameter."""
     pairs = []
     words = text.replace("-c ", "-c").split()
     for word in words:
--- a/src/orchidwind/elected/postgres/wire.py
+++ b/src/orchidwind/elected/postgres/wire.py
@@ -1,7 +1,7 @@
-"""The message codec of the PostgreSQL protocol, behind one module.
+"""The message codec of the PostgreSQL protocol.
 
-The codec is `pg_mimic.messages`; nothing else in the project imports it, so that it can be
-replaced in one place. Source of the formats: PostgreSQL manual, chapter "Frontend/Backend
+The codec is `pg_mimic.messages`. It is imported only here, so that it can be replaced in one
+place. Source of the formats: PostgreSQL manual, chapter "Frontend/Backend
 Protocol", section "Message Formats".
 """
 
@@ -37,15 +37,15 @@
 
 _MESSAGE_HEADER_BYTES = 5
 _STARTUP_HEADER_BYTES = 8
-# PostgreSQL's own bounds (MAX_STARTUP_PACKET_LENGTH, PG_MAX_AUTH_TOKEN_LENGTH).
+# PostgreSQL's limits (MAX_STARTUP_PACKET_LENGTH, PG_MAX_AUTH_TOKEN_LENGTH).
 MAXIMUM_STARTUP_BYTES = 10_000
 MAXIMUM_AUTHENTICATION_BYTES = 65_536
-# One message of a caller that has logged in; bounds memory.
+# Limit of one message after the login; limits memory.
 MAXIMUM_MESSAGE_BYTES = 64 * 1024 * 1024
 
 
 class ProtocolViolation(Exception):
-    """The other side sent bytes that the protocol does not allow."""
+    """The peer sent bytes that violate the protocol."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -56,7 +56,7 @@
     body: bytes
 
     def parameters(self) -> dict[str, str]:
-        """The start-up parameters; raises ProtocolViolation for a malformed body."""
+        """Decode the start-up parameters; raises ProtocolViolation if the body is malformed."""
         try:
             return codec.parse_startup_message(self.body)
         except (ValueError, IndexError, UnicodeDecodeError) as error:
@@ -64,28 +64,31 @@
 
 
 class FrameReader:
-    """Cuts a byte stream into protocol messages; keeps the unfinished rest."""
+    """Splits a byte stream into protocol messages; keeps an incomplete message until its end."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
         self.maximum_bytes = MAXIMUM_AUTHENTICATION_BYTES
 
     def feed(self, data: bytes) -> None:
-        """Add bytes that arrived."""
+        """Append received bytes."""
         self._buffer += data
 
     @property
-    def held(self) -> int:
-        """Bytes that are not cut into messages yet."""
+    def buffered_bytes(self) -> int:
+        """Number of bytes not returned as messages yet."""
         return len(self._buffer)
 
     @property
-    def ends(self) -> bool:
+    def next_is_terminate(self) -> bool:
         """Whether the next message is Terminate."""
         return self._buffer[:1] == codec.TERMINATE
 
     def startup_packet(self) -> StartupPacket | None:
-        """The next untagged message, None until it is complete."""
+        """Return the next untagged message, or None if it is incomplete.
+
+        Raises ProtocolViolation if its length is out of range.
+        """
         if len(self._buffer) < _STARTUP_HEADER_BYTES:
             return None
         length = unpack_int32(self._buffer, 0)
@@ -99,7 +102,10 @@
         return StartupPacket(code, body)
 
     def message(self) -> tuple[bytes, bytes] | None:
-        """The tag and body of the next message, None until it is complete."""
+        """Return the tag and body of the next message, or None if it is incomplete.
+
+        Raises ProtocolViolation if its length is out of range.
+        """
         if len(self._buffer) < _MESSAGE_HEADER_BYTES:
             return None
         length = unpack_int32(self._buffer, 1)
@@ -114,7 +120,10 @@
 
 
 def row_description(columns: tuple[Column, ...], formats: tuple[int, ...]) -> bytes:
-    """RowDescription; `formats` holds no code (text), one for all columns, or one a column."""
+    """Encode RowDescription.
+
+    `formats` is empty (all text), or holds one code for all columns or one code per column.
+    """
     return codec.make_row_description(
         [
             codec.FieldSpec(
@@ -132,14 +141,14 @@
 
 
 def format_code(formats: tuple[int, ...], index: int) -> int:
-    """The format of one column or parameter: 0 is text, 1 is binary."""
+    """Return the format code of a column or parameter: 0 is text, 1 is binary."""
     if not formats:
         return 0
     return formats[0] if len(formats) == 1 else formats[index]
 
 
 def error_response(severity: str, sqlstate: str, message: str, detail: str, hint: str) -> bytes:
-    """ErrorResponse with the fields that drivers show."""
+    """Encode ErrorResponse with severity, SQLSTATE, message and, if not empty, detail and hint."""
     fields = {"S": severity, "V": severity, "C": sqlstate, "M": message or "error"}
     if detail:
         fields["D"] = detail
--- a/src/orchidwind_standins/elected/platform_main.py
+++ b/src/orchidwind_standins/elected/platform_main.py
@@ -16,7 +16,7 @@
 import tornado.web
 from tornado.iostream import StreamClosedError
 
-_EVENTS_HELD = 1000
+_MAXIMUM_EVENTS = 1000
 _HANG_SECONDS = 3600.0
 
 
@@ -67,7 +67,7 @@
     def __init__(self) -> None:
         self.version = 0
         self.objects: dict[str, StoredObject] = {}
-        self.events: deque[tuple[int, bytes]] = deque(maxlen=_EVENTS_HELD)
+        self.events: deque[tuple[int, bytes]] = deque(maxlen=_MAXIMUM_EVENTS)
         self.faults = PlatformFaults()
         self.counts = PlatformCounts()
         self.machines: list[Machine] = []
@@ -75,14 +75,14 @@
 
     def write(self, name: str, incoming: StoredObject) -> StoredObject | None:
         """Compare and swap; None on a conflict."""
-        held = self.objects.get(name)
-        expected = held.metadata.resource_version if held else ""
+        stored = self.objects.get(name)
+        expected = stored.metadata.resource_version if stored else ""
         if incoming.metadata.resource_version != expected:
             return None
         self.version += 1
         incoming.metadata.resource_version = str(self.version)
         self.objects[name] = incoming
-        kind = b"MODIFIED" if held else b"ADDED"
+        kind = b"MODIFIED" if stored else b"ADDED"
         line = b'{"type":"%s","object":%s}\n' % (kind, msgspec.json.encode(incoming))
         self.events.append((self.version, line))
         self.counts.writes += 1
@@ -90,7 +90,7 @@
         self._changed = asyncio.Event()
         return incoming
 
-    def too_old(self, version: int) -> bool:
+    def is_expired(self, version: int) -> bool:
         """Whether events after `version` may have been dropped."""
         return bool(self.events) and version < self.events[0][0] - 1
 
@@ -98,7 +98,7 @@
         """Events that a watch has not seen."""
         return [event for event in self.events if event[0] > version]
 
-    async def wait_change(self) -> None:
+    async def wait_for_change(self) -> None:
         """Wait for the next write."""
         await self._changed.wait()
 
@@ -140,12 +140,12 @@
             await self._watch(name)
             return
         self.platform.counts.reads += 1
-        held = self.platform.objects.get(name)
-        if held is None:
+        stored = self.platform.objects.get(name)
+        if stored is None:
             self.set_status(404)
             self.finish()
             return
-        self.answer(held)
+        self.answer(stored)
 
     def put(self, name: str) -> None:
         """Create or replace; 409 where the version named is not the one held."""
@@ -165,7 +165,7 @@
     async def _watch(self, name: str) -> None:
         counts = self.platform.counts
         version = int(self.get_query_argument("resourceVersion", "0"))
-        if self.platform.too_old(version):
+        if self.platform.is_expired(version):
             self.set_status(410)
             self.finish()
             return
@@ -179,17 +179,17 @@
                     self.write(line)
                     version = number
                 await self.flush()
-                await self._next_change()
+                await self._wait_for_change_or_timeout()
         except StreamClosedError:
             return
         finally:
             counts.watchers -= 1
 
-    async def _next_change(self) -> None:
+    async def _wait_for_change_or_timeout(self) -> None:
         """Wait for a write, waking now and then to notice an outage or a closed reader."""
         try:
             async with asyncio.timeout(0.2):
-                await self.platform.wait_change()
+                await self.platform.wait_for_change()
         except TimeoutError:
             if self.request.connection.stream.closed():  # type: ignore[union-attr]
                 raise StreamClosedError from None
@@ -213,10 +213,10 @@
         """Take the platform."""
         self.platform = platform
 
-    async def post(self, what: str) -> None:
+    async def post(self, resource: str) -> None:
         """Set faults or the machine list; 400 for anything else."""
         try:
-            if what == "faults":
+            if resource == "faults":
                 self.platform.faults = msgspec.json.decode(self.request.body, type=PlatformFaults)
             else:
                 machines = msgspec.json.decode(self.request.body, type=list[Machine])
@@ -225,7 +225,7 @@
             self.set_status(400)
             self.finish(str(error))
 
-    def get(self, what: str) -> None:
+    def get(self, resource: str) -> None:
         """Show the counts."""
         self.finish(msgspec.json.encode(self.platform.counts))
 
--- a/src/orchidwind_standins/elected/postgres_main.py
+++ b/src/orchidwind_standins/elected/postgres_main.py
@@ -35,7 +35,7 @@
 _RECONNECT_SECONDS = 0.1
 _MAXIMUM_CONNECTIONS = 2_000
 _MILLISECONDS = 1000.0
-_SHORTEST_SLEEP_SECONDS = 0.001
+_MINIMUM_SLEEP_SECONDS = 0.001
 
 
 class PeerSender:
@@ -104,7 +104,7 @@
         # Names of instances, and of callers' zones, that are cut off.
         self._cut_peers: list[str] = []
         self._cut_zones: list[str] = []
-        self._healed = asyncio.Event()
+        self._cuts_changed = asyncio.Event()
         self._sessions: set[SqlSession] = set()
         self._was_primary = self.instance.is_primary
         self._verifiers = {user: ScramVerifier(word) for user, word in settings.users.items()}
@@ -137,9 +137,9 @@
         self.instance.start(self._now())
         while True:
             self._send(self.instance.tick(self._now()))
-            self._notice_role()
+            self._check_role()
             delay = self.instance.deadline() - self._now()
-            await asyncio.sleep(max(delay, _SHORTEST_SLEEP_SECONDS))
+            await asyncio.sleep(max(delay, _MINIMUM_SLEEP_SECONDS))
 
     def _now(self) -> float:
         return asyncio.get_running_loop().time()
@@ -149,14 +149,14 @@
         if message.sender in self._cut_peers:
             return
         self._send(self.instance.receive(self._now(), message))
-        self._notice_role()
+        self._check_role()
 
     def _send(self, outgoing: Iterable[Outgoing]) -> None:
         for item in outgoing:
             if item.recipient not in self._cut_peers:
                 self._senders[item.recipient].send(item.message)
 
-    def _notice_role(self) -> None:
+    def _check_role(self) -> None:
         if self._was_primary and not self.instance.is_primary:
             self._drop_sessions()
         self._was_primary = self.instance.is_primary
@@ -169,23 +169,23 @@
         """Append a transaction to the log and ship it."""
         self._send(self.instance.commit(transaction, changes))
 
-    async def admit(self, session: SqlSession) -> None:
+    async def on_request(self, session: SqlSession) -> None:
         """Latency, the cost of a statement, and cuts, on the way in."""
         if session.parameters.user not in self.settings.reserved_users:
             self.statements += 1
-        await self._pass(session.zone)
+        await self._simulate_network(session.zone)
         if self.settings.statement_ms:
             await asyncio.sleep(self.settings.statement_ms / _MILLISECONDS)
 
-    async def release(self, session: SqlSession) -> None:
+    async def on_response(self, session: SqlSession) -> None:
         """Latency and cuts on the way out."""
-        await self._pass(session.zone)
+        await self._simulate_network(session.zone)
 
-    async def _pass(self, zone: str) -> None:
+    async def _simulate_network(self, zone: str) -> None:
         if self.settings.zone_latency_ms and zone != self.own.zone:
             await asyncio.sleep(self.settings.zone_latency_ms / _MILLISECONDS)
         while zone in self._cut_zones:
-            await self._healed.wait()
+            await self._cuts_changed.wait()
 
     def activity(self) -> str:
         """Process id and state of each session, as JSON."""
@@ -193,7 +193,7 @@
         states = [(process, "active" if item.busy else "idle") for process, item in sessions]
         return msgspec.json.encode(states).decode()
 
-    def ended(self, session: SqlSession) -> None:
+    def session_closed(self, session: SqlSession) -> None:
         """Forget a session."""
         self._sessions.discard(session)
 
@@ -208,12 +208,12 @@
     async def open(self, parameters: SessionParameters) -> Executor:
         """Refuse what PostgreSQL would refuse, after the time that a connection costs."""
         session = SqlSession(self, parameters)
-        await self._pass(session.zone)
+        await self._simulate_network(session.zone)
         if parameters.database not in self.settings.databases:
             raise RequestError(
                 ErrorKind.UNKNOWN_DATABASE, f'database "{parameters.database}" does not exist'
             )
-        if not self._has_room(parameters.user):
+        if not self._has_free_connection(parameters.user):
             raise RequestError(
                 ErrorKind.TOO_MANY_CALLERS, "sorry, too many clients already (stand-in)"
             )
@@ -221,7 +221,7 @@
         await asyncio.sleep(self.settings.connect_ms / _MILLISECONDS)
         return session
 
-    def _has_room(self, user: str) -> bool:
+    def _has_free_connection(self, user: str) -> bool:
         if user in self.settings.reserved_users:
             return True
         ordinary = [
@@ -241,8 +241,8 @@
             self._cut_peers = faults.cut_peers
         if faults.cut_zones is not None:
             self._cut_zones = faults.cut_zones
-            self._healed.set()
-            self._healed = asyncio.Event()
+            self._cuts_changed.set()
+            self._cuts_changed = asyncio.Event()
         if faults.replay_lag_ms is not None:
             self.instance.set_replay_lag(faults.replay_lag_ms / _MILLISECONDS)
         if faults.switchover and not self.instance.is_primary:
--- a/src/orchidwind_standins/elected/replication.py
+++ b/src/orchidwind_standins/elected/replication.py
@@ -119,7 +119,7 @@
 
 
 _RECORD_OVERHEAD_BYTES = 48
-_RECORDS_A_MESSAGE = 500
+_MAXIMUM_RECORDS_PER_MESSAGE = 500
 
 
 def _record_size(changes: Sequence[Change]) -> int:
@@ -171,7 +171,7 @@
         """The last position of each term in this log."""
         return tuple(self._history)
 
-    def common_end(self, other: Sequence[HistoryEntry]) -> Position:
+    def last_common_position(self, other: Sequence[HistoryEntry]) -> Position:
         """The end of the longest part that both logs share."""
         ends = {entry.term: entry.lsn for entry in other}
         for entry in reversed(self._history):
@@ -210,12 +210,12 @@
         self.committed_transactions: dict[int, LogRecord] = {}
         self._random = random.Random(f"{seed}/{name}")
         self._next_transaction = 1
-        self._voted_in = self.term
+        self._last_voted_term = self.term
         self._votes: set[str] = set()
         self._replay_queue: deque[tuple[float, LogRecord]] = deque()
-        self._sent_up_to: dict[str, Position] = {}
-        self._election_due = 0.0
-        self._heartbeat_due = 0.0
+        self._sent_positions: dict[str, Position] = {}
+        self._election_time = 0.0
+        self._heartbeat_time = 0.0
         if self.is_primary:
             self._append_local(())
 
@@ -231,8 +231,8 @@
 
     def start(self, now: float) -> None:
         """Set the first timers."""
-        self._postpone_election(now)
-        self._heartbeat_due = now
+        self._reset_election_timer(now)
+        self._heartbeat_time = now
 
     def next_transaction(self) -> int:
         """Draw a transaction identifier."""
@@ -247,22 +247,22 @@
 
     def deadline(self) -> float:
         """The time, in seconds of the caller's clock, of the next call of `tick`."""
-        due = self._heartbeat_due if self.is_primary else self._election_due
+        next_time = self._heartbeat_time if self.is_primary else self._election_time
         if self._replay_queue:
-            due = min(due, self._replay_queue[0][0])
-        return due
+            next_time = min(next_time, self._replay_queue[0][0])
+        return next_time
 
     def tick(self, now: float) -> list[Outgoing]:
         """Replay what is due, send heartbeats, or stand for election."""
-        self._replay_due(now)
+        self._apply_due_records(now)
         if self.is_primary:
-            if now < self._heartbeat_due:
+            if now < self._heartbeat_time:
                 return []
-            self._heartbeat_due = now + self.timings.heartbeat
+            self._heartbeat_time = now + self.timings.heartbeat
             return self._ship_all(heartbeat=True)
-        if now < self._election_due:
+        if now < self._election_time:
             return []
-        return self._stand_for_election(now)
+        return self._start_election(now)
 
     def receive(self, now: float, message: GroupMessage) -> list[Outgoing]:
         """Take one message of another instance."""
@@ -282,7 +282,7 @@
 
     def stand_now(self, now: float) -> list[Outgoing]:
         """Planned change of primary: this replica stands for election at once."""
-        return self._stand_for_election(now)
+        return self._start_election(now)
 
     def _append_local(self, changes: Sequence[Change], transaction: int = 0) -> None:
         lsn = self.log.last.lsn + _record_size(changes)
@@ -293,19 +293,21 @@
             self.committed_transactions[transaction] = record
 
     def _ship_all(self, heartbeat: bool = False) -> list[Outgoing]:
-        return [self._ship(peer) for peer in self.peers if heartbeat or self._behind(peer)]
+        return [
+            self._ship(peer) for peer in self.peers if heartbeat or self._has_unsent_records(peer)
+        ]
 
-    def _behind(self, peer: str) -> bool:
-        return self._sent_up_to.get(peer, ORIGIN) != self.log.last
+    def _has_unsent_records(self, peer: str) -> bool:
+        return self._sent_positions.get(peer, ORIGIN) != self.log.last
 
     def _ship(self, peer: str) -> Outgoing:
-        previous = self._sent_up_to.get(peer, ORIGIN)
+        previous = self._sent_positions.get(peer, ORIGIN)
         if not self.log.contains(previous):
             previous = ORIGIN
         start = self.log.index_after(previous.lsn)
-        records = tuple(self.log.records[start : start + _RECORDS_A_MESSAGE])
+        records = tuple(self.log.records[start : start + _MAXIMUM_RECORDS_PER_MESSAGE])
         if records:
-            self._sent_up_to[peer] = records[-1].position
+            self._sent_positions[peer] = records[-1].position
         entry = HistoryEntry(previous.term, previous.lsn)
         return Outgoing(peer, Append(self.name, self.term, entry, records))
 
@@ -314,27 +316,27 @@
             return [self._append_answer(message.sender, matched=False)]
         self.primary = message.sender
         self.may_vote = True
-        self._postpone_election(now)
+        self._reset_election_timer(now)
         previous = Position(message.previous.term, message.previous.lsn)
         if not self.log.contains(previous):
             return [self._append_answer(message.sender, matched=False)]
         for record in message.records:
-            self._take_record(now, record, previous)
+            self._accept_record(now, record, previous)
             previous = record.position
         return [self._append_answer(message.sender, matched=True)]
 
-    def _take_record(self, now: float, record: LogRecord, previous: Position) -> None:
+    def _accept_record(self, now: float, record: LogRecord, previous: Position) -> None:
         if self.log.contains(record.position):
             return
         if self.log.last != previous:
-            self._truncate(previous.lsn)
+            self._truncate_log(previous.lsn)
         self.log.append(record)
         if record.transaction:
             self.committed_transactions[record.transaction] = record
         self._replay_queue.append((now + self.timings.replay_lag, record))
-        self._replay_due(now)
+        self._apply_due_records(now)
 
-    def _truncate(self, lsn: int) -> None:
+    def _truncate_log(self, lsn: int) -> None:
         """Drop a divergent tail and build the store again from what is left."""
         self.log.truncate(lsn)
         self._replay_queue.clear()
@@ -354,34 +356,34 @@
         if not self.is_primary or message.term != self.term:
             return []
         if message.matched:
-            return [self._ship(message.sender)] if self._behind(message.sender) else []
-        self._sent_up_to[message.sender] = self.log.common_end(message.history)
+            return [self._ship(message.sender)] if self._has_unsent_records(message.sender) else []
+        self._sent_positions[message.sender] = self.log.last_common_position(message.history)
         return [self._ship(message.sender)]
 
-    def _replay_due(self, now: float) -> None:
+    def _apply_due_records(self, now: float) -> None:
         while self._replay_queue and self._replay_queue[0][0] <= now:
             _, record = self._replay_queue.popleft()
             self.store.apply(record)
             self.replayed = record.position
 
-    def _postpone_election(self, now: float) -> None:
+    def _reset_election_timer(self, now: float) -> None:
         delay = self._random.uniform(self.timings.election_minimum, self.timings.election_maximum)
-        self._election_due = now + delay
+        self._election_time = now + delay
 
     def _step_down(self, term: int, now: float) -> None:
         self.term = term
         if self.is_primary:
-            self._postpone_election(now)
+            self._reset_election_timer(now)
         self.primary = None
         self._votes.clear()
 
-    def _stand_for_election(self, now: float) -> list[Outgoing]:
-        self._postpone_election(now)
+    def _start_election(self, now: float) -> list[Outgoing]:
+        self._reset_election_timer(now)
         if not self.may_vote:
             return []
         self.term += 1
         self.primary = None
-        self._voted_in = self.term
+        self._last_voted_term = self.term
         self._votes = {self.name}
         if len(self._votes) >= self.majority:
             return self._become_primary(now)
@@ -394,12 +396,12 @@
         granted = (
             self.may_vote
             and message.term == self.term
-            and self._voted_in < message.term
+            and self._last_voted_term < message.term
             and last >= self.log.last
         )
         if granted:
-            self._voted_in = message.term
-            self._postpone_election(now)
+            self._last_voted_term = message.term
+            self._reset_election_timer(now)
         return [Outgoing(message.sender, Vote(self.name, self.term, granted))]
 
     def _on_vote(self, now: float, message: Vote) -> list[Outgoing]:
@@ -416,7 +418,7 @@
             self.store.apply(record)
         self._replay_queue.clear()
         self.primary = self.name
-        self._sent_up_to = {peer: self.log.last for peer in self.peers}
+        self._sent_positions = {peer: self.log.last for peer in self.peers}
         self._append_local(())
-        self._heartbeat_due = now
+        self._heartbeat_time = now
         return self._ship_all(heartbeat=True)
--- a/src/orchidwind_standins/elected/sql_session.py
+++ b/src/orchidwind_standins/elected/sql_session.py
@@ -25,11 +25,11 @@
 from orchidwind.shared.core.positions import format_lsn
 from orchidwind_standins.elected.replication import Change, Instance
 from orchidwind_standins.elected.sql_store import (
-    FORGET_TABLE,
-    REMEMBER_COLUMN,
+    DELETE_CATALOG_TABLE,
+    UPSERT_CATALOG_COLUMN,
     SqlFunction,
     SqlStore,
-    touches_catalog,
+    changes_catalog,
 )
 from orchidwind_standins.elected.sql_translation import (
     NOW_MARKER,
@@ -43,9 +43,9 @@
     encode_result,
 )
 
-_ROWS_A_CHUNK = 500
+_ROWS_PER_CHUNK = 500
 _SLEEP = re.compile(r"^\s*select\s+pg_sleep\(\s*([\d.]+)\s*\)\s*;?\s*$", re.IGNORECASE)
-_MICROSECOND_DIGITS = "microseconds"
+_TIMESTAMP_PRECISION = "microseconds"
 
 
 class SessionServer(ABC):
@@ -56,11 +56,11 @@
     write_lock: asyncio.Lock
 
     @abstractmethod
-    async def admit(self, session: SqlSession) -> None:
+    async def on_request(self, session: SqlSession) -> None:
         """Wait for cuts and latency on the way in."""
 
     @abstractmethod
-    async def release(self, session: SqlSession) -> None:
+    async def on_response(self, session: SqlSession) -> None:
         """Wait for cuts and latency on the way out."""
 
     @abstractmethod
@@ -72,7 +72,7 @@
         """Process id and state of each session, as JSON."""
 
     @abstractmethod
-    def ended(self, session: SqlSession) -> None:
+    def session_closed(self, session: SqlSession) -> None:
         """The session is over."""
 
 
@@ -99,7 +99,7 @@
         self._settings: dict[str, str] = {}
         self._changes: list[Change] = []
         self._transaction = 0
-        self._in_sqlite = False
+        self._sqlite_transaction_open = False
         self._holds_lock = False
         self._savepoints: list[_Savepoint] = []
         self._read_only = False
@@ -107,17 +107,17 @@
 
     async def execute(self, statement: Statement, sink: ResultSink) -> None:
         """Run one statement, or each statement of a simple query string."""
-        await self._server.admit(self)
+        await self._server.on_request(self)
         try:
             await self._execute(statement, sink)
         finally:
-            await self._server.release(self)
+            await self._server.on_response(self)
 
     async def _execute(self, statement: Statement, sink: ResultSink) -> None:
         try:
             texts = _split_statements(statement.sql)
         except ValueError as error:
-            raise self._failed(sql_error("42601", str(error))) from error
+            raise self._fail_transaction(sql_error("42601", str(error))) from error
         if not texts:
             await sink.complete("")
             return
@@ -125,47 +125,51 @@
             await self._run(texts[0], statement, sink)
             return
         if not statement.simple:
-            raise self._failed(sql_error("42601", "several commands in a prepared statement"))
+            raise self._fail_transaction(
+                sql_error("42601", "several commands in a prepared statement")
+            )
         await self._run_several(texts, statement, sink)
 
     async def _run_several(self, texts: list[str], statement: Statement, sink: ResultSink) -> None:
-        implicit = self.transaction_status == wire.TRANSACTION_IDLE
-        if implicit:
+        implicit_transaction = self.transaction_status == wire.TRANSACTION_IDLE
+        if implicit_transaction:
             self.transaction_status = wire.TRANSACTION_OPEN
         try:
             for text in texts:
                 await self._run(text, statement, sink)
-                implicit = implicit and _first_word(text) not in _BLOCK_STARTS
+                implicit_transaction = (
+                    implicit_transaction and _first_word(text) not in _TRANSACTION_COMMANDS
+                )
         except RequestError:
-            if implicit:
+            if implicit_transaction:
                 self._rollback()
             raise
-        if implicit and self.transaction_status == wire.TRANSACTION_OPEN:
+        if implicit_transaction and self.transaction_status == wire.TRANSACTION_OPEN:
             self._commit()
 
     async def _run(self, text: str, statement: Statement, sink: ResultSink) -> None:
         word = _first_word(text)
-        if self.transaction_status == wire.TRANSACTION_FAILED and word not in _ENDINGS:
+        if self.transaction_status == wire.TRANSACTION_FAILED and word not in _TRANSACTION_ENDS:
             message = "current transaction is aborted, commands ignored until end of transaction"
             raise sql_error("25P02", message)
         try:
-            tag = await self._control(word, text, sink)
+            tag = await self._run_control_command(word, text, sink)
             if tag is None:
                 tag = await self._run_statement(text, statement, sink)
         except RequestError as error:
-            raise self._failed(error) from error
+            raise self._fail_transaction(error) from error
         await sink.complete(tag)
 
-    def _failed(self, error: RequestError) -> RequestError:
+    def _fail_transaction(self, error: RequestError) -> RequestError:
         if self.transaction_status == wire.TRANSACTION_OPEN:
             self.transaction_status = wire.TRANSACTION_FAILED
             if not self._savepoints:
-                self._undo()
+                self._discard_changes()
         elif self.transaction_status == wire.TRANSACTION_IDLE:
-            self._undo()
+            self._discard_changes()
         return error
 
-    async def _control(self, word: str, text: str, sink: ResultSink) -> str | None:
+    async def _run_control_command(self, word: str, text: str, sink: ResultSink) -> str | None:
         """Transaction control and settings; None for any other statement."""
         if word in ("BEGIN", "START"):
             self.transaction_status = wire.TRANSACTION_OPEN
@@ -182,10 +186,10 @@
             self._rollback()
             return "ROLLBACK"
         if word in ("SAVEPOINT", "RELEASE", "ROLLBACK"):
-            return await self._savepoint(word, text)
-        return await self._setting(word, text, sink)
+            return await self._run_savepoint_command(word, text)
+        return await self._run_setting_command(word, text, sink)
 
-    async def _setting(self, word: str, text: str, sink: ResultSink) -> str | None:
+    async def _run_setting_command(self, word: str, text: str, sink: ResultSink) -> str | None:
         if word == "SET":
             name, _, value = text[3:].replace("=", " ").strip().partition(" ")
             value = re.sub(r"^\s*to\s+", "", value.strip(), flags=re.IGNORECASE)
@@ -198,14 +202,14 @@
         if word == "SHOW":
             name = text[4:].strip().lower()
             value = self._settings.get(name, _DEFAULT_SETTINGS.get(name, ""))
-            await sink.columns((Column(name.replace(" ", "_"), codec_text()),))
+            await sink.columns((Column(name.replace(" ", "_"), text_oid()),))
             await sink.rows(codec.make_data_row([value.encode()]), 1)
             return "SHOW"
         if word == "COPY":
             raise RequestError(ErrorKind.NOT_SUPPORTED, "COPY is not supported")
         return None
 
-    async def _savepoint(self, word: str, text: str) -> str:
+    async def _run_savepoint_command(self, word: str, text: str) -> str:
         if self.transaction_status == wire.TRANSACTION_IDLE:
             raise sql_error("25P01", f"{word} can only be used in transaction blocks")
         name = text.split()[-1]
@@ -214,10 +218,10 @@
             self._savepoints.append(_Savepoint(name, len(self._changes)))
             self._sqlite().execute(f"SAVEPOINT {name}")
             return "SAVEPOINT"
-        found = [index for index, point in enumerate(self._savepoints) if point.name == name]
-        if not found:
+        matching = [index for index, point in enumerate(self._savepoints) if point.name == name]
+        if not matching:
             raise sql_error("3B001", f'savepoint "{name}" does not exist')
-        index = found[-1]
+        index = matching[-1]
         if word == "RELEASE":
             del self._savepoints[index:]
             self._sqlite().execute(f"RELEASE {name}")
@@ -264,7 +268,7 @@
         )
 
     async def _begin_write(self) -> None:
-        if self._in_sqlite:
+        if self._sqlite_transaction_open:
             return
         if self._read_only:
             raise sql_error("25006", "cannot execute this in a read-only transaction")
@@ -276,15 +280,15 @@
             self._release_lock()
             raise sql_error("57P01", "the instance is no longer the primary")
         self._sqlite().execute("BEGIN IMMEDIATE")
-        self._in_sqlite = True
+        self._sqlite_transaction_open = True
 
     def _run_on_sqlite(
         self, translated: Translated, values: list[SqlValue]
     ) -> tuple[list[tuple[SqlValue, ...]], int]:
         sql = translated.sql
         if NOW_MARKER in sql:
-            moment = datetime.now(UTC).isoformat(sep=" ", timespec=_MICROSECOND_DIGITS)
-            sql = sql.replace(NOW_MARKER, f"'{moment}'")
+            timestamp = datetime.now(UTC).isoformat(sep=" ", timespec=_TIMESTAMP_PRECISION)
+            sql = sql.replace(NOW_MARKER, f"'{timestamp}'")
         try:
             cursor = self._sqlite().execute(sql, values)
             rows = cursor.fetchall()
@@ -297,9 +301,9 @@
     def _record(self, change: Change, translated: Translated) -> None:
         self._changes.append(change)
         for declared in translated.catalog:
-            self._change_catalog(Change(REMEMBER_COLUMN, declared))
+            self._change_catalog(Change(UPSERT_CATALOG_COLUMN, declared))
         if translated.dropped:
-            self._change_catalog(Change(FORGET_TABLE, (translated.dropped,)))
+            self._change_catalog(Change(DELETE_CATALOG_TABLE, (translated.dropped,)))
 
     def _change_catalog(self, change: Change) -> None:
         self._sqlite().execute(change.statement, change.parameters)
@@ -314,8 +318,8 @@
     ) -> None:
         await sink.columns(_wire_columns(translated))
         oids = [column.oid for column in translated.columns]
-        for start in range(0, len(rows), _ROWS_A_CHUNK):
-            chunk = rows[start : start + _ROWS_A_CHUNK]
+        for start in range(0, len(rows), _ROWS_PER_CHUNK):
+            chunk = rows[start : start + _ROWS_PER_CHUNK]
             try:
                 encoded = b"".join(_encode_row(oids, result_format, row) for row in chunk)
             except (ValueError, TypeError) as error:
@@ -325,25 +329,25 @@
             await asyncio.sleep(0)
 
     def _commit(self) -> None:
-        if self._in_sqlite:
+        if self._sqlite_transaction_open:
             self._sqlite().execute("COMMIT")
-            self._in_sqlite = False
+            self._sqlite_transaction_open = False
             if self._changes:
                 transaction = self._transaction or self._server.instance.next_transaction()
                 changes, self._changes = self._changes, []
                 self._server.commit(transaction, changes)
-                if touches_catalog(changes):
+                if changes_catalog(changes):
                     self._server.store.reload_catalog()
         self._end_transaction()
 
     def _rollback(self) -> None:
-        self._undo()
+        self._discard_changes()
         self._end_transaction()
 
-    def _undo(self) -> None:
-        if self._in_sqlite:
+    def _discard_changes(self) -> None:
+        if self._sqlite_transaction_open:
             self._sqlite().execute("ROLLBACK")
-            self._in_sqlite = False
+            self._sqlite_transaction_open = False
         self._changes.clear()
         self._release_lock()
 
@@ -361,15 +365,15 @@
 
     async def describe(self, sql: str, parameter_types: tuple[int, ...]) -> Description:
         """Tell the types of a statement."""
-        await self._server.admit(self)
+        await self._server.on_request(self)
         if _first_word(sql) == "SHOW":
-            return Description(columns=(Column(sql[4:].strip(), codec_text()),))
-        if _first_word(sql) in _NOT_DESCRIBED or _SLEEP.match(sql):
+            return Description(columns=(Column(sql[4:].strip(), text_oid()),))
+        if _first_word(sql) in _COMMANDS_WITHOUT_RESULT or _SLEEP.match(sql):
             return Description()
         try:
             translated = self._server.store.translator.translate(sql, parameter_types)
         except TranslationError as error:
-            raise self._failed(sql_error("42601", str(error))) from error
+            raise self._fail_transaction(sql_error("42601", str(error))) from error
         self._check_names(translated)
         return Description(translated.parameter_types, _wire_columns(translated))
 
@@ -379,7 +383,7 @@
             values = [None] * len(translated.parameter_types)
             self._sqlite().execute(f"EXPLAIN {translated.sql}", values)
         except sqlite3.Error as error:
-            raise self._failed(_sqlite_error(error)) from error
+            raise self._fail_transaction(_sqlite_error(error)) from error
 
     def cancel(self) -> None:
         """Stop a sleep; other statements here end by themselves."""
@@ -393,11 +397,11 @@
 
     async def close(self) -> None:
         """Roll back what is open."""
-        self._undo()
+        self._discard_changes()
         if self._connection is not None:
             self._connection.close()
             self._connection = None
-        self._server.ended(self)
+        self._server.session_closed(self)
 
     def _sqlite(self) -> sqlite3.Connection:
         if self._connection is None:
@@ -414,8 +418,8 @@
             ("standin_activity", 0, self._server.activity),
             ("standin_timeline", 0, lambda: instance.term),
             ("standin_received_timeline", 0, lambda: instance.received.term),
-            ("pg_current_xact_id", 0, self._current_transaction),
-            ("pg_xact_status", 1, self._transaction_status_of),
+            ("pg_current_xact_id", 0, self._current_xact_id),
+            ("pg_xact_status", 1, self._xact_status),
             ("pg_backend_pid", 0, lambda: id(self) & 0x7FFFFFFF),
             ("version", 0, lambda: "PostgreSQL 15.8 (stand-in)"),
             ("current_schema", 0, lambda: "public"),
@@ -428,19 +432,19 @@
     def _current_lsn(self) -> str:
         return format_lsn(self._server.instance.received.lsn)
 
-    def _current_transaction(self) -> str:
+    def _current_xact_id(self) -> str:
         if not self._transaction:
             self._transaction = self._server.instance.next_transaction()
         return str(self._transaction)
 
-    def _transaction_status_of(self, identifier: str) -> str:
-        known = self._server.instance.committed_transactions
-        return "committed" if int(identifier) in known else "aborted"
+    def _xact_status(self, identifier: str) -> str:
+        committed = self._server.instance.committed_transactions
+        return "committed" if int(identifier) in committed else "aborted"
 
 
-_BLOCK_STARTS = frozenset(("BEGIN", "START", "COMMIT", "END", "ROLLBACK", "ABORT"))
-_ENDINGS = frozenset(("COMMIT", "END", "ROLLBACK", "ABORT"))
-_NOT_DESCRIBED = _BLOCK_STARTS | frozenset(
+_TRANSACTION_COMMANDS = frozenset(("BEGIN", "START", "COMMIT", "END", "ROLLBACK", "ABORT"))
+_TRANSACTION_ENDS = frozenset(("COMMIT", "END", "ROLLBACK", "ABORT"))
+_COMMANDS_WITHOUT_RESULT = _TRANSACTION_COMMANDS | frozenset(
     ("SAVEPOINT", "RELEASE", "SET", "RESET", "DISCARD", "DEALLOCATE", "UNLISTEN", "CLOSE", "")
 )
 _DEFAULT_SETTINGS = {
@@ -453,7 +457,7 @@
 }
 
 
-def codec_text() -> int:
+def text_oid() -> int:
     """The type identifier of text."""
     return int(TEXT)
 
--- a/src/orchidwind_standins/elected/sql_store.py
+++ b/src/orchidwind_standins/elected/sql_store.py
@@ -21,8 +21,8 @@
     " PRIMARY KEY (table_name, column_name))"
 )
 _PRAGMAS = ("PRAGMA journal_mode=WAL", "PRAGMA synchronous=OFF", "PRAGMA busy_timeout=0")
-REMEMBER_COLUMN = f"INSERT OR REPLACE INTO {CATALOG_TABLE} VALUES (?1, ?2, ?3)"
-FORGET_TABLE = f"DELETE FROM {CATALOG_TABLE} WHERE table_name = ?1"
+UPSERT_CATALOG_COLUMN = f"INSERT OR REPLACE INTO {CATALOG_TABLE} VALUES (?1, ?2, ?3)"
+DELETE_CATALOG_TABLE = f"DELETE FROM {CATALOG_TABLE} WHERE table_name = ?1"
 
 SqlFunction = tuple[str, int, Callable[..., None | int | float | str | bytes]]
 
@@ -66,7 +66,7 @@
         for change in record.changes:
             self._replay.execute(change.statement, change.parameters)
         self._replay.execute("COMMIT")
-        if touches_catalog(record.changes):
+        if changes_catalog(record.changes):
             self.reload_catalog()
 
     def reset(self) -> None:
@@ -91,6 +91,8 @@
         shutil.rmtree(self._folder, ignore_errors=True)
 
 
-def touches_catalog(changes: tuple[Change, ...] | list[Change]) -> bool:
+def changes_catalog(changes: tuple[Change, ...] | list[Change]) -> bool:
     """Whether a transaction declares or drops a table."""
-    return any(change.statement in (REMEMBER_COLUMN, FORGET_TABLE) for change in changes)
+    return any(
+        change.statement in (UPSERT_CATALOG_COLUMN, DELETE_CATALOG_TABLE) for change in changes
+    )
--- a/src/orchidwind_standins/elected/sql_translation.py
+++ b/src/orchidwind_standins/elected/sql_translation.py
@@ -11,11 +11,11 @@
 from sqlglot.errors import ParseError, TokenError
 
 from orchidwind.elected.core.sql_text import space_parameters
-from orchidwind_standins.elected.sql_types import oid_of, sqlite_type
+from orchidwind_standins.elected.sql_types import sqlite_type, type_oid
 
 CATALOG_TABLE = "standin_catalog"
 NOW_MARKER = "'@@now@@'"
-_CACHED_TRANSLATIONS = 4096
+_MAXIMUM_CACHED_TRANSLATIONS = 4096
 _SYSTEM_VIEWS = {
     "pg_control_checkpoint()": "(SELECT standin_timeline() AS timeline_id)",
     "pg_stat_activity": "(SELECT json_extract(value, '$[0]') AS pid,"
@@ -74,7 +74,7 @@
         key = (sql, parameter_types)
         cached = self._cache.get(key)
         if cached is None:
-            if len(self._cache) >= _CACHED_TRANSLATIONS:
+            if len(self._cache) >= _MAXIMUM_CACHED_TRANSLATIONS:
                 self._cache.clear()
             cached = self._cache[key] = self._translate(sql, parameter_types)
         return cached
@@ -86,13 +86,13 @@
             raise TranslationError(str(error).splitlines()[0]) from error
         if isinstance(tree, exp.Command):
             raise TranslationError(f"not understood: {sql[:60]}")
-        columns = _Typing(self.catalog, tree, given_types)
+        columns = _TypeInference(self.catalog, tree, given_types)
         catalog, dropped = _declared_columns(tree)
         result = columns.result_columns()
         types = columns.parameter_types()
         _rewrite(tree)
         return Translated(
-            sql=_with_system_views(tree.sql(dialect="sqlite")),
+            sql=_replace_system_views(tree.sql(dialect="sqlite")),
             command=_command(tree),
             writes=not isinstance(tree, exp.Query | exp.Values),
             parameter_types=types,
@@ -102,7 +102,7 @@
         )
 
 
-def _with_system_views(sql: str) -> str:
+def _replace_system_views(sql: str) -> str:
     for source, query in _SYSTEM_VIEWS.items():
         sql = re.sub(re.escape(source), query, sql, flags=re.IGNORECASE)
     return sql
@@ -131,52 +131,59 @@
     for column in schema.expressions:
         if isinstance(column, exp.ColumnDef):
             kind = column.args.get("kind")
-            declared.append((table, column.name, oid_of(kind) if kind else codec.TEXT))
+            declared.append((table, column.name, type_oid(kind) if kind else codec.TEXT))
     return tuple(declared), ""
 
 
-class _Typing:
+class _TypeInference:
     """Infers parameter and result types from declared columns, casts and literals."""
 
     def __init__(self, catalog: Catalog, tree: exp.Expr, given_types: tuple[int, ...]) -> None:
         self._tree = tree
-        self._given = given_types
+        self._declared_types = given_types
         self._columns: dict[str, int] = {}
         for table in tree.find_all(exp.Table):
             self._columns.update(catalog.get(table.name, {}))
 
     def parameter_types(self) -> tuple[int, ...]:
-        found: dict[int, int] = {}
+        inferred: dict[int, int] = {}
         for parameter in self._tree.find_all(exp.Parameter):
             number = int(parameter.name)
-            if found.get(number, codec.TEXT) == codec.TEXT:
-                found[number] = self._parameter_type(parameter, number)
-        count = max([len(self._given), *found]) if found or self._given else 0
-        return tuple(self._one_type(number, found) for number in range(1, count + 1))
+            if inferred.get(number, codec.TEXT) == codec.TEXT:
+                inferred[number] = self._parameter_type(parameter, number)
+        count = (
+            max([len(self._declared_types), *inferred]) if inferred or self._declared_types else 0
+        )
+        return tuple(
+            self._resolved_parameter_type(number, inferred) for number in range(1, count + 1)
+        )
 
-    def _one_type(self, number: int, found: dict[int, int]) -> int:
-        given = self._given[number - 1] if number <= len(self._given) else 0
+    def _resolved_parameter_type(self, number: int, inferred: dict[int, int]) -> int:
+        given = self._declared_types[number - 1] if number <= len(self._declared_types) else 0
         if given not in (0, codec.UNKNOWN):
             return given
-        return found.get(number, codec.TEXT)
+        return inferred.get(number, codec.TEXT)
 
     def _parameter_type(self, parameter: exp.Parameter, number: int) -> int:
-        if number <= len(self._given) and self._given[number - 1] not in (0, codec.UNKNOWN):
-            return self._given[number - 1]
+        if number <= len(self._declared_types) and self._declared_types[number - 1] not in (
+            0,
+            codec.UNKNOWN,
+        ):
+            return self._declared_types[number - 1]
         parent = parameter.parent
         if isinstance(parent, exp.Cast):
-            return oid_of(parent.to)
+            return type_oid(parent.to)
         if isinstance(parent, exp.Limit | exp.Offset):
             return codec.INT8
         if isinstance(parent, exp.Tuple):
             return self._inserted_type(parameter, parent)
         if isinstance(parent, exp.Binary):
             other = parent.expression if parent.this is parameter else parent.this
-            return self._type(other)
+            return self._infer_type(other)
         if isinstance(parent, exp.In):
-            return self._type(parent.this)
+            return self._infer_type(parent.this)
         if isinstance(parent, exp.Between):
-            return self._type(parent.this)
+            return self._infer_type(parent.this)
         return codec.TEXT
 
     def _inserted_type(self, parameter: exp.Parameter, row: exp.Tuple) -> int:
@@ -202,16 +209,16 @@
             if isinstance(item, exp.Star) or isinstance(item.unalias(), exp.Star):
                 columns.extend(ResultColumn(name, oid) for name, oid in self._columns.items())
             else:
-                columns.append(ResultColumn(_output_name(item), self._type(item.unalias())))
+                columns.append(ResultColumn(_output_name(item), self._infer_type(item.unalias())))
         return tuple(columns)
 
-    def _type(self, node: exp.Expr | None) -> int:
+    def _infer_type(self, node: exp.Expr | None) -> int:
         if node is None:
             return codec.TEXT
         if isinstance(node, exp.Paren | exp.Alias | exp.Neg | exp.Min | exp.Max | exp.Subquery):
-            return self._type(node.this)
+            return self._infer_type(node.this)
         if isinstance(node, exp.Select):
-            return self._type(node.selects[0].unalias())
+            return self._infer_type(node.selects[0].unalias())
         for kinds, infer in _TYPE_RULES:
             if isinstance(node, kinds):
                 return infer(self, node)
@@ -227,22 +234,24 @@
             return codec.NUMERIC
         return codec.INT4 if int(node.name) < 2**31 else codec.INT8
 
-    def _given_type(self, node: exp.Expr) -> int:
+    def _parameter_node_type(self, node: exp.Expr) -> int:
         number = int(node.name)
-        return self._given[number - 1] if number <= len(self._given) else codec.TEXT
+        return (
+            self._declared_types[number - 1] if number <= len(self._declared_types) else codec.TEXT
+        )
 
     def _first_argument_type(self, node: exp.Expr) -> int:
-        return self._type(node.this)
+        return self._infer_type(node.this)
 
     def _arithmetic_type(self, node: exp.Expr) -> int:
-        types = {self._type(node.this), self._type(node.expression)}
+        types = {self._infer_type(node.this), self._infer_type(node.expression)}
         for wide in (codec.FLOAT8, codec.NUMERIC, codec.INT8, codec.INT4):
             if wide in types:
                 return wide
         return codec.TEXT
 
     def _sum_type(self, node: exp.Expr) -> int:
-        inner = self._type(node.this)
+        inner = self._infer_type(node.this)
         return codec.INT8 if inner in (codec.INT2, codec.INT4, codec.INT8) else inner
 
     def _function_type(self, node: exp.Expr) -> int:
@@ -254,21 +263,21 @@
     "pg_backend_pid": codec.INT4,
     "standin_timeline": codec.INT4,
 }
-_TypeRule = tuple[tuple[type, ...], Callable[[_Typing, exp.Expr], int]]
+_TypeRule = tuple[tuple[type, ...], Callable[[_TypeInference, exp.Expr], int]]
 _TYPE_RULES: list[_TypeRule] = [
-    ((exp.Column,), _Typing._column_type),
-    ((exp.Literal,), _Typing._literal_type),
-    ((exp.Cast,), lambda typing, node: oid_of(node.args["to"])),
-    ((exp.Parameter,), _Typing._given_type),
+    ((exp.Column,), _TypeInference._column_type),
+    ((exp.Literal,), _TypeInference._literal_type),
+    ((exp.Cast,), lambda typing, node: type_oid(node.args["to"])),
+    ((exp.Parameter,), _TypeInference._parameter_node_type),
     ((exp.Count,), lambda typing, node: codec.INT8),
     ((exp.Boolean, exp.Predicate, exp.Not, exp.Connector), lambda typing, node: codec.BOOL),
-    ((exp.Sum,), _Typing._sum_type),
+    ((exp.Sum,), _TypeInference._sum_type),
     ((exp.Avg,), lambda typing, node: codec.FLOAT8),
-    ((exp.Coalesce,), _Typing._first_argument_type),
-    ((exp.Case,), lambda typing, node: typing._type(node.args["ifs"][0].args["true"])),
+    ((exp.Coalesce,), _TypeInference._first_argument_type),
+    ((exp.Case,), lambda typing, node: typing._infer_type(node.args["ifs"][0].args["true"])),
     ((exp.CurrentTimestamp,), lambda typing, node: codec.TIMESTAMPTZ),
-    ((exp.Binary,), _Typing._arithmetic_type),
-    ((exp.Anonymous,), _Typing._function_type),
+    ((exp.Binary,), _TypeInference._arithmetic_type),
+    ((exp.Anonymous,), _TypeInference._function_type),
 ]
 
 
@@ -299,12 +308,12 @@
         _rewrite_create(tree)
         for ordered in list(tree.find_all(exp.Ordered)):
             ordered.replace(ordered.this)
-    for lock_holder in tree.find_all(exp.Select):
-        lock_holder.set("locks", None)
+    for select in tree.find_all(exp.Select):
+        select.set("locks", None)
 
 
 def _rewrite_cast(cast: exp.Cast) -> exp.Expr:
-    oid = oid_of(cast.to)
+    oid = type_oid(cast.to)
     if isinstance(cast.this, exp.Var):
         return cast.this.copy()
     if oid == codec.BOOL:
@@ -325,6 +334,6 @@
         if kind is None:
             continue
         serial = kind.this in (exp.DataType.Type.SERIAL, exp.DataType.Type.BIGSERIAL)
-        column.set("kind", exp.DataType.build(sqlite_type(oid_of(kind)), dialect="sqlite"))
+        column.set("kind", exp.DataType.build(sqlite_type(type_oid(kind)), dialect="sqlite"))
         if serial:
             column.set("constraints", [exp.ColumnConstraint(kind=exp.PrimaryKeyColumnConstraint())])
--- a/src/orchidwind_standins/elected/sql_types.py
+++ b/src/orchidwind_standins/elected/sql_types.py
@@ -17,7 +17,9 @@
 
 INTEGER_TYPES = frozenset((codec.INT2, codec.INT4, codec.INT8, codec.OID))
 FLOAT_TYPES = frozenset((codec.FLOAT4, codec.FLOAT8))
-_TEXT_BYTES = frozenset((codec.TEXT, codec.VARCHAR, codec.UNKNOWN, codec.BPCHAR, codec.NAME, 0))
+_TEXT_LIKE_TYPES = frozenset(
+    (codec.TEXT, codec.VARCHAR, codec.UNKNOWN, codec.BPCHAR, codec.NAME, 0)
+)
 TYPE_SIZES = {
     codec.BOOL: 1,
     codec.INT2: 2,
@@ -54,7 +56,7 @@
 }
 
 
-def oid_of(kind: exp.DataType) -> int:
+def type_oid(kind: exp.DataType) -> int:
     """The type identifier of a declared type; arrays and unknown types count as text."""
     return _TYPE_OIDS.get(kind.this, codec.TEXT)
 
@@ -72,7 +74,7 @@
     """A parameter's bytes as a value for SQLite; raises ValueError for a malformed one."""
     if data is None:
         return None
-    if format_code == 1 and oid in _TEXT_BYTES:
+    if format_code == 1 and oid in _TEXT_LIKE_TYPES:
         return data.decode()
     if format_code == 1 and oid == codec.BYTEA:
         return data
@@ -129,8 +131,8 @@
     if oid == codec.TIMESTAMP:
         return datetime.fromisoformat(text).replace(tzinfo=None)
     if oid == codec.TIMESTAMPTZ:
-        moment = datetime.fromisoformat(text)
-        return moment if moment.tzinfo else moment.replace(tzinfo=UTC)
+        timestamp = datetime.fromisoformat(text)
+        return timestamp if timestamp.tzinfo else timestamp.replace(tzinfo=UTC)
     if oid == codec.DATE:
         return date.fromisoformat(text[:10])
     if oid == codec.UUID:
