--- a/src/orchidwind_standins/elected/__init__.py
+++ b/src/orchidwind_standins/elected/__init__.py
@@ -1,1 +1,1 @@
-"""Programs in the place of PostgreSQL and of the object API."""
+"""Stand-ins for PostgreSQL and for the platform's object API, for tests and benchmarks."""
--- a/src/orchidwind_standins/elected/frames.py
+++ b/src/orchidwind_standins/elected/frames.py
@@ -1,4 +1,4 @@
-"""Length-prefixed msgpack messages over TCP, used between stand-ins only."""
+"""Length-prefixed msgpack messages over TCP, used only between stand-in instances."""
 
 from __future__ import annotations
 
@@ -15,13 +15,16 @@
 
 
 def encode(message: object) -> bytes:
-    """A message with its length before it."""
+    """Encode a message, preceded by its length."""
     body = msgspec.msgpack.encode(message)
     return _LENGTH.pack(len(body)) + body
 
 
 async def read(stream: IOStream, decoder: msgspec.msgpack.Decoder[Message]) -> Message:
-    """The next message; raises StreamClosedError at the end."""
+    """Read the next message.
+
+    Raises StreamClosedError at the end of the stream, ValueError if the message is too long.
+    """
     (length,) = _LENGTH.unpack(await stream.read_bytes(_LENGTH.size))
     if length > _MAXIMUM_BYTES:
         raise ValueError(f"message of {length} bytes")
