--- a/src/orchidwind_standins/elected/sql_translation.py
+++ b/src/orchidwind_standins/elected/sql_translation.py
@@ -86,11 +86,11 @@
             raise TranslationError(str(error).splitlines()[0]) from error
         if isinstance(tree, exp.Command):
             raise TranslationError(f"not understood: {sql[:60]}")
-        columns = _TypeInference(self.catalog, tree, given_types)
-        catalog, dropped = _declared_columns(tree)
-        result = columns.result_columns()
-        types = columns.parameter_types()
-        _rewrite(tree)
+        inference = _TypeInference(self.catalog, tree, given_types)
+        catalog, dropped = _catalog_changes(tree)
+        result = inference.result_columns()
+        types = inference.parameter_types()
+        _rewrite_for_sqlite(tree)
         return Translated(
             sql=_replace_system_views(tree.sql(dialect="sqlite")),
             command=_command(tree),
@@ -116,9 +116,10 @@
     return type(tree).__name__.upper()
 
 
-def _declared_columns(
+def _catalog_changes(
     tree: exp.Expr,
 ) -> tuple[tuple[tuple[str, str, int], ...], str]:
+    """Return the columns that a CREATE TABLE declares and the table that a DROP TABLE removes."""
     if isinstance(tree, exp.Drop) and tree.args.get("kind") == "TABLE":
         return (), tree.this.name
     if not isinstance(tree, exp.Create) or tree.args.get("kind") != "TABLE":
@@ -292,7 +293,7 @@
     return "?column?"
 
 
-def _rewrite(tree: exp.Expr) -> None:
+def _rewrite_for_sqlite(tree: exp.Expr) -> None:
     for parameter in list(tree.find_all(exp.Parameter)):
         parameter.replace(exp.Placeholder(this=parameter.name))
     for placeholder in tree.find_all(exp.Placeholder):
--- a/src/orchidwind_standins/elected/sql_types.py
+++ b/src/orchidwind_standins/elected/sql_types.py
@@ -71,7 +71,10 @@
 
 
 def decode_parameter(oid: int, format_code: int, data: bytes | None) -> SqlValue:
-    """Convert a parameter to an SQLite value; raises ValueError if it is malformed."""
+    """Convert a parameter to an SQLite value.
+
+    Raises ValueError, or ArithmeticError for a numeric, if it is malformed.
+    """
     if data is None:
         return None
     if format_code == 1 and oid in _TEXT_LIKE_TYPES:
