--- a/src/orchidwind/elected/__init__.py
+++ b/src/orchidwind/elected/__init__.py
@@ -1,1 +1,1 @@
-"""The proxy of groups that elect their primary themselves; callers speak PostgreSQL."""
+"""The proxy for groups whose instances elect their primary; callers use PostgreSQL's protocol."""
--- a/src/orchidwind/elected/daemon.py
+++ b/src/orchidwind/elected/daemon.py
@@ -1,7 +1,7 @@
-"""One proxy process of elected groups: listener, home service, links, membership, object API.
+"""One proxy process for elected groups: listener, home service, links, membership, object API.
 
-Owns: the order in which the parts start and stop. Relies on: settings that were checked; errors in
-the parts are theirs to log.
+Owns: the order in which the parts start and stop. Relies on: validated settings, and on each part
+to log its own errors.
 """
 
 from __future__ import annotations
@@ -22,9 +22,9 @@
 from orchidwind.elected.network.object_api_watch import ObjectApiWatch
 from orchidwind.elected.network.operator_http import (
     DatabaseStatus,
-    InstancePage,
+    InstanceStatus,
     MemberStatus,
-    Operated,
+    OperatorTarget,
     ProxyStatus,
 )
 from orchidwind.elected.postgres.executor import Executor, SessionParameters
@@ -36,16 +36,16 @@
 from orchidwind.shared.logs import log_event
 from orchidwind.shared.settings import ProxySettings
 
-# The time for other proxies to learn of a planned stop, shorter than the 0.7 s until all of
-# 100 had (docs/DECISIONS.md, "Urgent membership news is pushed"): requests that come later are sent
-# back.
+# The time that other proxies have to learn of a planned stop. All of 100 proxies had learned of one
+# after 0.7 s (docs/DECISIONS.md, "Urgent membership news is pushed"); this time is shorter, and
+# requests that arrive after it are sent back.
 _ANNOUNCE_SECONDS = 0.5
-# The end of the last request is noticed so late at the latest, a tenth of the announcement.
+# Bounds the delay until the end of the last request is noticed: a tenth of the announcement time.
 _DRAIN_CHECK_SECONDS = 0.05
 
 
 class CallerHost(SessionHost):
-    """Admits callers by the configuration in force."""
+    """Authenticates callers and opens their sessions by the configuration in force."""
 
     def __init__(self, cluster: Cluster, front: FrontService) -> None:
         self.listener: PostgresListener | None = None
@@ -54,7 +54,7 @@
         self._verifiers: dict[tuple[str, str], ScramVerifier] = {}
 
     def verifier(self, user: str) -> ScramVerifier | None:
-        """The verifier of a user, made when the user first logs in."""
+        """Return the verifier of a user, created at the first login; None for an unknown user."""
         password = self._password(user)
         if password is None:
             return None
@@ -71,11 +71,11 @@
         return None
 
     def knows_user(self, user: str) -> bool:
-        """Every user has a password."""
+        """Return False: no user may log in without a password."""
         return False
 
     async def open(self, parameters: SessionParameters) -> Executor:
-        """Open a session of a configured database."""
+        """Open a session of a configured database; raises RequestError for an unknown one."""
         if parameters.database not in self._cluster.databases:
             raise RequestError(
                 ErrorKind.UNKNOWN_DATABASE, f'database "{parameters.database}" does not exist'
@@ -83,26 +83,26 @@
         return FrontExecutor(self._front, parameters)
 
     def cancel(self, process_id: int, secret: int) -> None:
-        """Cancel what another connection runs."""
+        """Cancel the statement that runs on another connection."""
         if self.listener is not None:
             self.listener.cancel(process_id, secret)
 
 
-class ProxyDaemon(Operated):
-    """Wires the parts together; `run` returns when the proxy has drained."""
+class ProxyDaemon(OperatorTarget):
+    """Connects the parts of the proxy; `run` returns when the proxy has drained."""
 
     def __init__(self, settings: ProxySettings) -> None:
         self._settings = settings
-        self._figures = Metrics()
+        self._metrics = Metrics()
         self._cluster = Cluster(settings, self._on_roles)
         self._homes = HomeService(self._cluster.node, self._cluster)
-        self._cluster.on_lease = self._homes.take_lease
-        front = FrontService(self._cluster, self._homes, self._figures)
+        self._cluster.on_lease = self._homes.on_lease_answer
+        front = FrontService(self._cluster, self._homes, self._metrics)
         host = CallerHost(self._cluster, front)
         self._listener = PostgresListener(
             host,
             maximum_connections=settings.maximum_callers,
-            on_error=self._figures.error_answered,
+            on_error=self._metrics.error_answered,
         )
         host.listener = self._listener
         self._links = LinkServer(self._homes, self._cluster.reply)
@@ -119,7 +119,7 @@
         self._listener.listen(settings.caller_port, settings.caller_host or settings.host)
         log_event("proxy_started", zone=settings.zone, caller_port=settings.caller_port)
         client = ObjectApiClient(settings.platform_url)
-        watch = asyncio.create_task(ObjectApiWatch(client, self._cluster, self._figures).run())
+        watch = asyncio.create_task(ObjectApiWatch(client, self._cluster, self._metrics).run())
         await self._stop.wait()
         await self._finish_work()
         watch.cancel()
@@ -127,29 +127,29 @@
         log_event("proxy_stopped")
 
     def drain(self) -> None:
-        """Planned stop: announce, then let what runs end."""
+        """Begin a planned stop: `run` announces it and lets running requests finish."""
         if not self._draining:
             self._draining = True
             self._stop.set()
 
     async def _finish_work(self) -> None:
-        """Stop in an order that cuts nothing.
+        """Drain in an order that interrupts no request.
 
-        First the others learn of it, so that their new requests go elsewhere; only then does this
-        node stop taking requests as home, and those that come late are sent back untouched. Callers
-        are served, through the new homes, while they leave by themselves; those that stay are
-        closed between transactions.
+        The other proxies learn of the stop first, so that their new requests go elsewhere. Only
+        then does this proxy stop accepting requests as home; late ones are sent back without being
+        run. Callers are served through the new homes until they disconnect; those that remain after
+        `linger_seconds` are closed between transactions.
         """
         log_event("drain_started", callers=len(self._listener.sessions))
         self._listener.stop()
         self._cluster.leave()
         await asyncio.sleep(_ANNOUNCE_SECONDS)
-        self._homes.give_up_all()
+        self._homes.stop_serving()
         loop = asyncio.get_running_loop()
-        lingers_until = loop.time() + self._settings.linger_seconds
-        bound = loop.time() + self._settings.drain_seconds
-        while loop.time() < bound:
-            if loop.time() >= lingers_until:
+        linger_ends_at = loop.time() + self._settings.linger_seconds
+        drain_ends_at = loop.time() + self._settings.drain_seconds
+        while loop.time() < drain_ends_at:
+            if loop.time() >= linger_ends_at:
                 for session in list(self._listener.sessions.values()):
                     session.stop()
             if not self._listener.sessions and self._homes.idle:
@@ -175,8 +175,8 @@
     # --- Operated -----------------------------------------------------------------------------
 
     def metrics(self) -> bytes:
-        """The figures, with the gauges brought up to date."""
-        gauges = self._figures.gauges
+        """Return the metrics after updating the gauges."""
+        gauges = self._metrics.gauges
         gauges.callers.set(len(self._listener.sessions))
         gauges.members.set(len(self._cluster.members.membership.usable()))
         gauges.homes.set(len(self._homes.runners))
@@ -184,10 +184,10 @@
         members = self._cluster.members
         gauges.suspicions.set(members.membership.suspicions)
         gauges.gossip_bytes.set(members.sent_bytes + members.received_bytes)
-        return self._figures.render()
+        return self._metrics.render()
 
     def status(self) -> ProxyStatus:
-        """The state of the proxy."""
+        """Return the state of the proxy."""
         return ProxyStatus(
             name=self._settings.name,
             zone=self._settings.zone,
@@ -210,7 +210,7 @@
     for name, report in group.view.reports.items():
         pool = group.connections.pools[name]
         instances.append(
-            InstancePage(
+            InstanceStatus(
                 name=name,
                 reachable=name not in group.view.unreachable,
                 in_recovery=report.in_recovery,
--- a/src/orchidwind/elected/metrics.py
+++ b/src/orchidwind/elected/metrics.py
@@ -1,6 +1,6 @@
-"""Figures of one proxy, in Prometheus' text form on `/metrics`.
+"""Metrics of one proxy, in Prometheus' text format on `/metrics`.
 
-Owns the names and labels, which dashboards rely on; docs/OPERATIONS.md says how to read each.
+Owns the names and labels, which dashboards rely on; docs/OPERATIONS.md explains each metric.
 """
 
 from __future__ import annotations
@@ -17,13 +17,13 @@
 from orchidwind.elected.core.statements import Outcome, RequestKind
 from orchidwind.shared.core.errors import RequestError
 
-# Seconds, from a read on a near replica to the longest deadlines.
+# Seconds: from a read on a nearby replica to the longest deadlines.
 _LATENCY_BUCKETS = (0.001, 0.002, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5, 10)
 _TARGET_NAMES = {True: "replica", False: "primary"}
 
 
 class Gauges:
-    """Figures that are set as they are asked for."""
+    """Gauges that are set when the metrics are requested or their value changes."""
 
     def __init__(self, registry: CollectorRegistry) -> None:
         def gauge(name: str, text: str) -> Gauge:
@@ -47,7 +47,7 @@
 
 
 class Metrics:
-    """All figures; one object a process."""
+    """All metrics of the process."""
 
     def __init__(self) -> None:
         self.registry = CollectorRegistry()
@@ -68,12 +68,12 @@
             buckets=_LATENCY_BUCKETS,
             registry=self.registry,
         )
-        self._errors = self._counter("orchidwind_errors", "Errors told to callers, by kind", "kind")
+        self._errors = self._counter("orchidwind_errors", "Errors sent to callers, by kind", "kind")
         self.gauges = Gauges(self.registry)
-        # Children by their labels: to look them up in the registry costs a lock for each request.
-        self._children: dict[tuple[str, str], Counter] = {}
-        self._targets: dict[tuple[bool, str], Counter] = {}
-        self._timers = {kind: seconds.labels(kind.value) for kind in RequestKind}
+        # Counters by their labels, since a lookup in the registry takes a lock for each request.
+        self._request_counters: dict[tuple[str, str], Counter] = {}
+        self._read_counters: dict[tuple[bool, str], Counter] = {}
+        self._latencies = {kind: seconds.labels(kind.value) for kind in RequestKind}
 
     def _counter(self, name: str, text: str, *labels: str) -> Counter:
         return Counter(name, text, labels, registry=self.registry)
@@ -81,29 +81,29 @@
     def finished(
         self, kind: RequestKind, traffic_class: str, outcome: Outcome, seconds: float
     ) -> None:
-        """A request ended."""
+        """Record a finished request and its duration in seconds."""
         result = "ok" if outcome.error is None else outcome.error.kind.value
         key = (kind.value, result)
-        child = self._children.get(key)
-        if child is None:
-            child = self._children[key] = self._requests.labels(*key)
-        child.inc()
-        self._timers[kind].observe(seconds)
+        request_counter = self._request_counters.get(key)
+        if request_counter is None:
+            request_counter = self._request_counters[key] = self._requests.labels(*key)
+        request_counter.inc()
+        self._latencies[kind].observe(seconds)
         if kind is RequestKind.READ and outcome.error is None and outcome.instance:
             self._count_read(outcome.is_replica, traffic_class)
 
     def _count_read(self, is_replica: bool, traffic_class: str) -> None:
         key = (is_replica, traffic_class)
-        target = self._targets.get(key)
+        target = self._read_counters.get(key)
         if target is None:
             name = _TARGET_NAMES[is_replica]
-            target = self._targets[key] = self._reads.labels(name, traffic_class)
+            target = self._read_counters[key] = self._reads.labels(name, traffic_class)
         target.inc()
 
     def error_answered(self, error: RequestError) -> None:
-        """A caller got an error as its answer."""
+        """Count an error that was sent to a caller."""
         self._errors.labels(error.kind.value).inc()
 
     def render(self) -> bytes:
-        """The text of `/metrics`."""
+        """Return the text of `/metrics`."""
         return generate_latest(self.registry)
--- a/src/orchidwind/elected/network/__init__.py
+++ b/src/orchidwind/elected/network/__init__.py
@@ -1,1 +1,1 @@
-"""Sockets and timers round the core."""
+"""Sockets and timers that connect the core classes to the network."""
--- a/src/orchidwind/elected/network/answer_port.py
+++ b/src/orchidwind/elected/network/answer_port.py
@@ -1,4 +1,4 @@
-"""Where the parts of an answer go while a statement runs."""
+"""Interface for the receiver of an answer's parts while a statement runs."""
 
 from __future__ import annotations
 
@@ -8,20 +8,20 @@
 
 
 class AnswerPort(ABC):
-    """Where the rows of an answer go while it runs."""
+    """Receives the parts of one answer as they arrive."""
 
     @abstractmethod
     async def columns(self, columns: tuple[Column, ...]) -> None:
-        """The columns of a result."""
+        """Receive the columns of a result."""
 
     @abstractmethod
     async def rows(self, encoded: bytes, count: int) -> None:
-        """Encoded rows; returns when more may come."""
+        """Receive `count` encoded rows; returns when more may be sent."""
 
     @abstractmethod
     async def tag(self, command_tag: str) -> None:
-        """A statement before the last of a query string ended."""
+        """Receive the command tag of a statement that is not the last of a query string."""
 
     @abstractmethod
     def still_running(self) -> None:
-        """The statement runs past its deadline, and is let run."""
+        """Receive the notice that the statement continues to run after its deadline."""
--- a/src/orchidwind/elected/network/backend.py
+++ b/src/orchidwind/elected/network/backend.py
@@ -1,8 +1,8 @@
-"""One connection to a database instance: libpq, non-blocking, on the event loop.
+"""One connection to a database instance: non-blocking libpq on the event loop.
 
-Owns the socket, and the order of sending and reading; `backend_answer.py` reads the parts. Values
-pass through as the raw bytes of the result. Large results are taken in chunks, so that memory stays
-flat.
+Owns the socket and the order of sending and reading; `backend_answer.py` reads the parts of an
+answer. Values are passed through as the raw bytes of the result. Large results are read in chunks,
+so that memory use stays bounded.
 """
 
 from __future__ import annotations
@@ -21,8 +21,8 @@
 from orchidwind.elected.network.connection_target import ConnectionTarget
 from orchidwind.shared.core.errors import BackendConnectionLost, BackendRefused
 
-# Rows of a result that libpq holds at once.
-_ROWS_A_CHUNK = 256
+# The maximum number of rows of a result that libpq holds at once.
+_ROWS_PER_CHUNK = 256
 _STATUS_BYTES = {
     pq.TransactionStatus.IDLE: b"I",
     pq.TransactionStatus.ACTIVE: b"T",
@@ -32,12 +32,12 @@
 }
 _COPY_STATUSES = (pq.ExecStatus.COPY_IN, pq.ExecStatus.COPY_OUT, pq.ExecStatus.COPY_BOTH)
 _TOO_MANY_CONNECTIONS = "53300"
-# libpq gives no SQLSTATE of a refused connection, so the server's words must do.
-_LIMIT_WORDS = ("too many clients", "connection slots", "too many connections")
+# libpq reports no SQLSTATE for a refused connection, so the server's message is matched instead.
+_LIMIT_MESSAGES = ("too many clients", "connection slots", "too many connections")
 
 
 class BackendConnection:
-    """An open connection; runs one statement at a time."""
+    """An open connection to an instance; runs one statement at a time."""
 
     def __init__(self, connection: PGconn, on_lost: Callable[[], None]) -> None:
         self._connection = connection
@@ -46,13 +46,17 @@
         self._socket = connection.socket
         self._readable: asyncio.Future[None] | None = None
         self._closed = False
-        # When the socket was last readable, and opened; steady clock, seconds.
+        # When the connection was opened and when its socket was last readable: seconds of the
+        # monotonic clock.
         self.opened_at = self.last_bytes_at = self._loop.time()
         self._loop.add_reader(self._socket, self._on_readable)
 
     @classmethod
     async def open(cls, target: ConnectionTarget, on_lost: Callable[[], None]) -> BackendConnection:
-        """Connect; raises BackendRefused. `on_lost` is called if it breaks while idle."""
+        """Connect to an instance; raises BackendRefused.
+
+        `on_lost` is called if the connection breaks while idle.
+        """
         connection = pq.PGconn.connect_start(target.conninfo())
         try:
             await _poll_until_done(connection)
@@ -64,16 +68,16 @@
 
     @property
     def broken(self) -> bool:
-        """Whether libpq knows that the connection is down."""
+        """Whether the connection was closed or libpq has detected that it is down."""
         return self._closed or self._connection.status == pq.ConnStatus.BAD
 
     @property
-    def backend(self) -> int:
-        """The id of the process that serves the connection in the database."""
+    def backend_pid(self) -> int:
+        """The id of the database process that serves the connection."""
         return self._connection.backend_pid
 
     def close(self) -> None:
-        """Close the socket; the database rolls back what was open."""
+        """Close the socket; the database rolls back an open transaction."""
         if self._closed:
             return
         self._closed = True
@@ -83,13 +87,13 @@
         self._connection.finish()
 
     async def run(self, statement: Statement, port: AnswerPort | None) -> RunResult:
-        """Run a statement and pass its rows on; raises BackendConnectionLost."""
+        """Run a statement and send its rows to `port`; raises BackendConnectionLost."""
         self._send(statement)
         answer = AnswerReader(port)
         try:
             while (part := await self._next_result()) is not None:
                 self._refuse_copy(part)
-                await answer.take(part)
+                await answer.add_part(part)
                 part.clear()
         except BackendConnectionLost as lost:
             lost.delivered = answer.result.delivered
@@ -98,7 +102,11 @@
         return answer.result
 
     async def prepare(self, name: bytes, sql: str) -> None:
-        """Prepare a statement under a name; raises BackendRefused where it is wrong."""
+        """Prepare a named statement.
+
+        Raises BackendRefused if the database rejects the statement, BackendConnectionLost if the
+        connection breaks.
+        """
         self._start(lambda: self._connection.send_prepare(name, sql.encode()))
         while (part := await self._next_result()) is not None:
             error = error_of(part)
@@ -106,16 +114,16 @@
                 raise BackendRefused(error.message, error.sqlstate)
 
     async def run_prepared(self, name: bytes) -> RunResult:
-        """Run a prepared statement without parameters and keep its first row."""
+        """Run a prepared statement without parameters; the result holds only its first row."""
         self._start(lambda: self._connection.send_query_prepared(name, None))
         answer = AnswerReader(None)
         while (part := await self._next_result()) is not None:
             self._refuse_copy(part)
-            await answer.take(part)
+            await answer.add_part(part)
         return answer.result
 
     async def describe(self, statement: Statement) -> RunResult:
-        """Tell the types of a statement, by the unnamed prepared statement."""
+        """Return the types of a statement, determined with the unnamed prepared statement."""
         result = RunResult()
         self._start(
             lambda: self._connection.send_prepare(
@@ -133,16 +141,17 @@
         return result
 
     async def cancel(self) -> None:
-        """Ask the database to cancel what runs; returns when the request has been taken."""
+        """Request cancellation of the running statement; returns once the database accepted it."""
         request = self._connection.cancel_conn()
         try:
             request.start()
             while (state := request.poll()) != pq.PollingStatus.OK:
                 if state == pq.PollingStatus.FAILED:
-                    return  # as below
+                    return  # ignored, as is psycopg.Error below
                 await _wait_socket(request.socket, writable=state == pq.PollingStatus.WRITING)
         except psycopg.Error:
-            return  # a cancel promises nothing: the statement's own connection tells how it ends
+            # Cancelling is best effort: the outcome arrives on the statement's own connection.
+            return
         finally:
             request.finish()
 
@@ -150,7 +159,7 @@
         return _STATUS_BYTES[pq.TransactionStatus(self._connection.transaction_status)]
 
     def _refuse_copy(self, part: PGresult) -> None:
-        """A connection in COPY can't be brought back to rest: close it."""
+        """Close the connection if it entered COPY mode, from which it can't return to idle."""
         if part.status in _COPY_STATUSES:
             self.close()
             raise BackendConnectionLost("COPY is not supported", sent=True)
@@ -161,7 +170,7 @@
             self._start(lambda: self._connection.send_query(sql))
         else:
             self._start(lambda: self._send_parameters(sql, statement))
-        self._connection.set_chunked_rows_mode(_ROWS_A_CHUNK)
+        self._connection.set_chunked_rows_mode(_ROWS_PER_CHUNK)
 
     def _send_parameters(self, sql: bytes, statement: Statement) -> None:
         count = len(statement.parameters)
@@ -178,7 +187,10 @@
         )
 
     def _start(self, send: Callable[[], None]) -> None:
-        """Send; `sent` is False only where the connection was known to be down before."""
+        """Send a command; raises BackendConnectionLost.
+
+        Its `sent` is False only if the connection was known to be down before sending.
+        """
         if self.broken:
             raise BackendConnectionLost("the connection is down", sent=False)
         try:
@@ -221,7 +233,7 @@
         self._check_idle()
 
     def _check_idle(self) -> None:
-        """Input without a statement: a notice, or the end of the connection."""
+        """Read input that arrives without a running statement: a notice or the connection's end."""
         with contextlib.suppress(psycopg.Error):
             self._connection.consume_input()
         if self._connection.status == pq.ConnStatus.BAD and not self._closed:
@@ -236,13 +248,13 @@
             return
         if state == pq.PollingStatus.FAILED:
             message = connection.get_error_message()
-            met = any(words in message for words in _LIMIT_WORDS)
-            raise BackendRefused(message, _TOO_MANY_CONNECTIONS if met else "08001")
+            limit_reached = any(words in message for words in _LIMIT_MESSAGES)
+            raise BackendRefused(message, _TOO_MANY_CONNECTIONS if limit_reached else "08001")
         await _wait_socket(connection.socket, writable=state == pq.PollingStatus.WRITING)
 
 
 async def _wait_socket(number: int, *, writable: bool) -> None:
-    """Wait until a socket may be read or written."""
+    """Wait until a socket is readable, or writable if `writable` is True."""
     loop = asyncio.get_running_loop()
     ready: asyncio.Future[None] = loop.create_future()
 
--- a/src/orchidwind/elected/network/backend_answer.py
+++ b/src/orchidwind/elected/network/backend_answer.py
@@ -1,7 +1,7 @@
-"""Reads the parts of libpq's answer to one statement, and passes rows and tags on as they come.
+"""Reads the parts of libpq's answer to one statement and forwards rows and tags as they arrive.
 
-Owns what of an answer is held back: the newest command tag, since the caller sees the last one only
-once the outcome of the request is known. Relies on `BackendConnection` for the order of the parts.
+Holds back the newest command tag, since the caller must receive the last one only once the outcome
+of the request is known. Relies on `BackendConnection` for the order of the parts.
 """
 
 from __future__ import annotations
@@ -19,7 +19,10 @@
 
 
 class AnswerReader:
-    """Fills a `RunResult`. Without a port, only the first row is taken."""
+    """Collects an answer in a `RunResult` and forwards its rows to a port.
+
+    Without a port, only the first row is kept.
+    """
 
     def __init__(self, port: AnswerPort | None) -> None:
         self.result = RunResult()
@@ -28,41 +31,41 @@
         self._columns_sent = False
         self._chunk_tag = ""
 
-    async def take(self, part: PGresult) -> None:
-        """Take the next part of the answer."""
+    async def add_part(self, part: PGresult) -> None:
+        """Process the next part of the answer."""
         error = error_of(part)
         if error is not None:
             self.result.error = self.result.error or error
             return
         if part.status in _ROW_STATUSES:
-            await self._take_rows(part)
-        # libpq puts the tag on whichever part it had in hand when CommandComplete came.
+            await self._deliver_rows(part)
+        # libpq attaches the tag to the part that it was building when CommandComplete arrived.
         tag = (part.command_status or b"").decode()
         if part.status == pq.ExecStatus.TUPLES_CHUNK:
             self._chunk_tag = tag or self._chunk_tag
             return
-        await self._take_tag(tag or self._chunk_tag)
+        await self._hold_tag(tag or self._chunk_tag)
         self._chunk_tag = ""
 
-    async def _take_tag(self, tag: str) -> None:
-        await self._pass_held_tag()
+    async def _hold_tag(self, tag: str) -> None:
+        await self._deliver_held_tag()
         self.result.tag = tag
         self._tag_held = True
 
-    async def _pass_held_tag(self) -> None:
+    async def _deliver_held_tag(self) -> None:
         if self._tag_held and self._port is not None:
             self.result.delivered = True
             await self._port.tag(self.result.tag)
         self._tag_held = False
 
-    async def _take_rows(self, part: PGresult) -> None:
+    async def _deliver_rows(self, part: PGresult) -> None:
         if self._port is None:
             if part.ntuples and not self.result.first_row:
                 self.result.first_row = tuple(_row_values(part, 0))
             return
         self.result.delivered = True
         if not self._columns_sent:
-            await self._pass_held_tag()
+            await self._deliver_held_tag()
             await self._port.columns(_columns(part))
         self._columns_sent = part.status == pq.ExecStatus.TUPLES_CHUNK
         if part.ntuples:
@@ -71,7 +74,7 @@
 
 
 def error_of(part: PGresult) -> RequestError | None:
-    """The error that a part of an answer carries, None for any other part."""
+    """Return the error that a part of an answer carries, or None if it carries none."""
     return _request_error(part) if part.status in _ERROR_STATUSES else None
 
 
@@ -94,7 +97,7 @@
 
 
 def description_of(part: PGresult) -> Description:
-    """The types of a prepared statement, from the answer to Describe."""
+    """Return the types of a prepared statement from the answer to Describe."""
     types = tuple(part.param_type(index) for index in range(part.nparams))
     return Description(types, _columns(part))
 
--- a/src/orchidwind/elected/network/backend_state.py
+++ b/src/orchidwind/elected/network/backend_state.py
@@ -1,7 +1,7 @@
-"""Asks a database, on a connection of its own, whether it still runs what another one waits for.
+"""Asks a database over a new connection whether the backend of another connection runs a statement.
 
-A statement may run for long, and an open connection may be silent for good: at the connection both
-look alike. The database knows which it is.
+From the waiting connection alone, a long statement and a connection that has fallen silent look the
+same. `pg_stat_activity` distinguishes the two.
 """
 
 from __future__ import annotations
@@ -13,18 +13,19 @@
 from orchidwind.elected.network.connection_target import ConnectionTarget
 from orchidwind.shared.core.errors import BackendRefused
 
-# As long as any new connection to an instance (`instance_targets.py`).
-_ASK_SECONDS = 2.0
+# Equal to the time limit for any new connection to an instance (`instance_targets.py`).
+_QUERY_TIMEOUT_SECONDS = 2.0
 _ACTIVE = b"active"
 
 
-async def still_runs(target: ConnectionTarget, backend: int) -> bool:
-    """Whether a backend process, by its id, runs a statement, or does not tell.
+async def statement_may_be_running(target: ConnectionTarget, backend_pid: int) -> bool:
+    """Return True if a backend process runs a statement, or if its state is not visible.
 
-    Raises BackendRefused, BackendConnectionLost, TimeoutError, OSError where nobody answers.
+    Raises BackendRefused, BackendConnectionLost, TimeoutError or OSError if the database does not
+    answer.
     """
-    query = f"SELECT state FROM pg_stat_activity WHERE pid = {backend}"
-    async with asyncio.timeout(_ASK_SECONDS):
+    query = f"SELECT state FROM pg_stat_activity WHERE pid = {backend_pid}"
+    async with asyncio.timeout(_QUERY_TIMEOUT_SECONDS):
         connection = await BackendConnection.open(target, lambda: None)
         try:
             result = await connection.run(Statement(query, simple=True), None)
@@ -34,5 +35,5 @@
         raise BackendRefused(result.error.message, result.error.sqlstate)
     if not result.first_row:
         return False
-    # A user without pg_read_all_stats is shown no state of the others.
+    # The state is NULL for backends of other users unless the user has pg_read_all_stats.
     return result.first_row[0] in (_ACTIVE, None)
--- a/src/orchidwind/elected/network/cluster.py
+++ b/src/orchidwind/elected/network/cluster.py
@@ -1,8 +1,9 @@
-"""What a proxy knows of the others: members, links to them, configuration, and the roles.
+"""A proxy's state about its cluster: members, links to them, configuration, and roles.
 
-For: the front, which asks for a home, and the home service, which asks for its placement. Owns: the
-links by proxy, the history of configurations, and whether this proxy watches the object API.
-Relies on: `core/membership.py` for who is there and `core/placement.py` for who is home of what.
+Used by the front, which looks up the home of a database, and by the home service, which applies the
+placement. Owns: the links by proxy, the history of configurations, and whether this proxy watches
+the object API. Relies on: `core/membership.py` for the members and `core/placement.py` for the
+homes of each database.
 """
 
 from __future__ import annotations
@@ -39,17 +40,17 @@
 from orchidwind.shared.settings import ProxySettings, parse_address
 from orchidwind.shared.task_set import TaskSet
 
-# Changes of members within this time lead to one change of roles.
-_VIEW_SETTLE_SECONDS = 0.05
-# One that dies leaves one, while the store has few watches.
-WATCHERS_A_ZONE = 2
+# Membership changes within this time are applied to the roles together.
+_VIEW_BATCH_SECONDS = 0.05
+# One watcher remains if the other fails, and the platform still serves few watches.
+WATCHERS_PER_ZONE = 2
 
 
 class Cluster:
-    """Implements the front's `Router` on the membership view and the configuration."""
+    """Implements `Router` and `LeasePort` on the membership and the configuration."""
 
     def __init__(self, settings: ProxySettings, on_roles: Callable[[], None]) -> None:
-        """`on_roles` is called when configuration or placement has changed."""
+        """`on_roles` is called when the configuration or the placement has changed."""
         self.node = Node(settings.name, settings.zone)
         self.history = ConfigurationHistory()
         self.databases: dict[str, DatabaseSettings] = {}
@@ -63,7 +64,7 @@
         self._homes: dict[str, Home | None] = {}
         self._links: dict[str, PeerLink] = {}
         self._fetch_turn = FetchTurn()
-        self._roles_due: asyncio.TimerHandle | None = None
+        self._roles_timer: asyncio.TimerHandle | None = None
         own = Member(
             settings.name,
             settings.zone,
@@ -77,13 +78,13 @@
         self.members = MembershipService(membership, self._on_view, self._on_peer_version)
 
     async def start(self) -> None:
-        """Join the others."""
+        """Open the membership socket and join the cluster."""
         await self.members.start(self._settings.host, self._settings.gossip_port)
 
     # --- Router -------------------------------------------------------------------------------
 
     def home(self, database: str) -> Home | None:
-        """The home of a database for this node's zone."""
+        """Return the home of a database for this node's zone, or None if there is none."""
         if database in self._homes:
             return self._homes[database]
         settings = self.databases.get(database)
@@ -95,7 +96,7 @@
         return found
 
     def traffic_class(self, user: str, application_name: str, tag: str) -> TrafficClass:
-        """The traffic class of a request."""
+        """Return the traffic class that the configuration assigns to a request."""
         return self._classes.match(user, application_name, tag)
 
     def _home_at(self, name: str) -> Home | None:
@@ -114,7 +115,7 @@
             return link
         if link is not None:
             link.close()
-        link = PeerLink(self.node.name, *address, on_notice=self._notice_taker(name))
+        link = PeerLink(self.node.name, *address, on_notice=self._notice_handler(name))
         self._links[name] = link
         return link
 
@@ -122,43 +123,43 @@
 
     @property
     def content(self) -> OperatorFile | None:
-        """The configuration in force."""
+        """The configuration in force, or None if none was received."""
         return self.history.current.content if self.history.current else None
 
     def on_platform(self, document: ConfigurationDocument) -> None:
-        """The object API brought a configuration."""
-        self._take(self.history.on_platform(document))
+        """Process a configuration received from the object API."""
+        self._perform(self.history.on_platform(document))
 
     def reply(self) -> codec.ConfigurationReply | None:
-        """The configuration in force, for a peer that asks."""
+        """Return the configuration in force as a reply to a peer, or None if there is none."""
         current = self.history.current
         if current is None:
             return None
         return codec.ConfigurationReply(current.version, msgspec.json.encode(current.content))
 
     def is_watcher(self) -> bool:
-        """Whether this node is one of its zone's readers of the platform."""
-        return self.node.name in self.placement.watchers(self.node.zone, WATCHERS_A_ZONE)
+        """Return whether this node is one of its zone's watchers of the platform."""
+        return self.node.name in self.placement.watchers(self.node.zone, WATCHERS_PER_ZONE)
 
-    def _peers_in_view(self) -> int:
+    def _reachable_peers(self) -> int:
         return len(self.members.membership.reachable()) - 1
 
     def _on_peer_version(self, peer: str, version: int) -> None:
-        self._take(self.history.on_peer_version(peer, version, self._peers_in_view()))
+        self._perform(self.history.on_peer_version(peer, version, self._reachable_peers()))
 
-    def _notice_taker(
+    def _notice_handler(
         self, peer: str
     ) -> Callable[[codec.ConfigurationReply | codec.LeaseReply], None]:
-        def take(notice: codec.ConfigurationReply | codec.LeaseReply) -> None:
+        def handle(notice: codec.ConfigurationReply | codec.LeaseReply) -> None:
             if isinstance(notice, codec.LeaseReply):
                 answer = LeaseAnswer(notice.slots, notice.number, notice.duration)
                 self.on_lease(notice.database, peer, answer)
             else:
-                self._take_peer_document(peer, notice)
+                self._on_peer_document(peer, notice)
 
-        return take
+        return handle
 
-    def _take_peer_document(self, peer: str, reply: codec.ConfigurationReply) -> None:
+    def _on_peer_document(self, peer: str, reply: codec.ConfigurationReply) -> None:
         self._fetch_turn.ended()
         try:
             content = msgspec.json.decode(reply.content, type=OperatorFile)
@@ -166,9 +167,9 @@
             log_event("peer_configuration_not_understood", peer=peer)
             return
         document = ConfigurationDocument(reply.version, content)
-        self._take(self.history.on_peer_document(peer, document, self._peers_in_view()))
+        self._perform(self.history.on_peer_document(peer, document, self._reachable_peers()))
 
-    def _take(self, effects: list[HistoryEffect]) -> None:
+    def _perform(self, effects: list[HistoryEffect]) -> None:
         for effect in effects:
             if isinstance(effect, Adopt):
                 self._adopt(effect.document)
@@ -194,7 +195,7 @@
     ) -> None:
         try:
             await link.open()
-        except PeerUnavailable as error:  # what asked will ask again
+        except PeerUnavailable as error:  # the sender of the message repeats it
             log_event("peer_unavailable", reason=error)
             on_unsent()
             return
@@ -203,11 +204,11 @@
     # --- leases -------------------------------------------------------------------------------
 
     def other_homes(self, database: DatabaseSettings) -> list[str]:
-        """The homes of a database in the other zones."""
+        """Return the names of a database's homes in the other zones."""
         return [name for name in self.placement.homes(database) if name != self.node.name]
 
-    def ask(self, lender: str, database: str, wanted: int) -> None:
-        """Ask another home for connections."""
+    def request_lease(self, lender: str, database: str, wanted: int) -> None:
+        """Send a lease request to another home; dropped if that proxy is not a member."""
         link = self._link(lender)
         if link is not None:
             self._send_soon(link, codec.LeaseAsk(database, wanted))
@@ -216,27 +217,27 @@
         log_event("configuration_in_force", version=document.version)
         self.databases = {item.name: item for item in document.content.databases}
         self._classes = ClassMatcher(document.content.classes)
-        self._change_roles()
+        self._update_roles()
         membership = self.members.membership
         self.members.perform(membership.set_configuration_version(document.version))
 
     # --- view ---------------------------------------------------------------------------------
 
     def _on_view(self) -> None:
-        """Members come in bursts; the roles are worked out once for each burst."""
-        if self._roles_due is None:
-            self._roles_due = self._loop.call_later(_VIEW_SETTLE_SECONDS, self._settle_view)
+        """Schedule an update of the roles, so that a burst of changes is applied once."""
+        if self._roles_timer is None:
+            self._roles_timer = self._loop.call_later(_VIEW_BATCH_SECONDS, self._apply_view)
 
-    def _settle_view(self) -> None:
-        self._roles_due = None
+    def _apply_view(self) -> None:
+        self._roles_timer = None
         for name in list(self._links):
             member = self.members.membership.members.get(name)
             if member is None or member.state == MemberState.DEAD:
                 self._links.pop(name).close()
                 self.history.forget_peer(name)
-        self._change_roles()
+        self._update_roles()
 
-    def _change_roles(self) -> None:
+    def _update_roles(self) -> None:
         nodes = [Node(item.name, item.zone) for item in self.members.membership.usable()]
         content = self.content
         self.placement = Placement(nodes, content.zones if content else [])
@@ -244,11 +245,11 @@
         self._on_roles()
 
     def leave(self) -> None:
-        """Announce a planned stop."""
+        """Announce a planned stop to the other members."""
         self.members.perform(self.members.membership.leave())
 
     def close(self) -> None:
-        """Cut links and close the socket."""
+        """Close the links and the membership socket."""
         for link in self._links.values():
             link.close()
         self.members.close()
--- a/src/orchidwind/elected/network/codec.py
+++ b/src/orchidwind/elected/network/codec.py
@@ -47,13 +47,13 @@
 
 
 class Hello(msgspec.Struct, frozen=True):
-    """First message on a link: who opened it."""
+    """The first message on a link: the name of the proxy that opened it."""
 
     node: str
 
 
 class Execute(msgspec.Struct, frozen=True):
-    """A request for the home of a database. `remaining` is the time left, in seconds."""
+    """A request to the home of a database. `remaining` is the time to its deadline, in seconds."""
 
     number: int
     channel: int
@@ -95,7 +95,7 @@
 
 
 class ResultTag(msgspec.Struct, frozen=True):
-    """A statement before the last of a query string ended."""
+    """The command tag of a statement that is not the last of a query string."""
 
     number: int
     tag: str
@@ -104,8 +104,8 @@
 class Done(msgspec.Struct, frozen=True):
     """A request ended with success.
 
-    `described` tells that types and columns are those of a description, `has_rows` that columns
-    and rows are those of a short answer, which travels in this message.
+    If `described` is set, the types and columns are those of a description. If `has_rows` is set,
+    the columns and rows are those of a short answer, which is sent in this message.
     """
 
     number: int
@@ -136,32 +136,32 @@
 
 
 class StillRunning(msgspec.Struct, frozen=True):
-    """The statement runs on a reachable instance past its deadline: go on waiting."""
+    """The statement runs past its deadline on a reachable instance: continue to wait."""
 
     number: int
 
 
 class Credit(msgspec.Struct, frozen=True):
-    """The caller took this many bytes of an answer."""
+    """The caller has read `count` more bytes of an answer."""
 
     number: int
     count: int
 
 
 class Cancel(msgspec.Struct, frozen=True):
-    """Cancel what runs on a channel."""
+    """Cancel the request that runs on a channel."""
 
     channel: int
 
 
 class CloseChannel(msgspec.Struct, frozen=True):
-    """The caller of a channel has gone."""
+    """The caller of a channel has disconnected."""
 
     channel: int
 
 
 class ConfigurationRequest(msgspec.Struct, frozen=True):
-    """Ask for the configuration in force; `version` is the one that the asker holds."""
+    """Asks for the configuration in force if it is newer than `version`, which the sender holds."""
 
     version: int
 
@@ -174,14 +174,14 @@
 
 
 class LeaseAsk(msgspec.Struct, frozen=True):
-    """A home asks another for connections to a database."""
+    """A home asks another home to lend it connection slots of a database."""
 
     database: str
     wanted: int
 
 
 class LeaseReply(msgspec.Struct, frozen=True):
-    """Connections to each instance that a home lends, for a time in seconds."""
+    """A home lends `slots` connections to each instance for `duration` seconds."""
 
     database: str
     slots: int
@@ -190,11 +190,11 @@
 
 
 class LinkProbe(msgspec.Struct, frozen=True):
-    """Sent on a link that says nothing: is it alive?"""
+    """Sent on a link without received bytes to check that it still works."""
 
 
 class LinkAlive(msgspec.Struct, frozen=True):
-    """The answer to a probe, whatever runs."""
+    """The answer to a probe, sent at once whatever statements run."""
 
 
 LinkMessage = (
@@ -260,7 +260,7 @@
 
 
 def encode_frame(message: LinkMessage) -> bytes:
-    """A link message with its length before it."""
+    """Return a link message as a frame: its length and its encoding."""
     fields = msgspec.structs.asdict(message)
     if isinstance(message, _WITH_RECORDS):
         _flatten(fields)
@@ -274,7 +274,7 @@
 
 
 def decode_link(body: bytes) -> LinkMessage:
-    """The message of a frame; raises DecodeError."""
+    """Return the message in the body of a frame; raises DecodeError."""
     try:
         name, fields = read_record(body, _LINK_SCHEMA)
         return msgspec.convert(fields, _LINK_TYPES[name], builtin_types=(bytes,))
@@ -283,7 +283,7 @@
 
 
 def encode_datagram(message: MembershipMessage) -> bytes:
-    """A membership message."""
+    """Return the encoding of a membership message."""
     fields = {name: getattr(message, name) for name in _DATAGRAM_FIELDS[type(message)]}
     fields["sender"] = _member_fields(message.sender)
     fields["configuration_version"] = message.configuration_version
@@ -298,7 +298,7 @@
 
 
 def decode_datagram(body: bytes) -> MembershipMessage:
-    """A membership message; raises DecodeError."""
+    """Return the membership message in a datagram; raises DecodeError."""
     try:
         name, fields = read_record(body, _DATAGRAM_SCHEMA)
         fields["sender"] = _member(fields["sender"])
--- a/src/orchidwind/elected/network/connection_target.py
+++ b/src/orchidwind/elected/network/connection_target.py
@@ -1,4 +1,4 @@
-"""Where and as whom to connect to an instance, in libpq's words."""
+"""The address and credentials for a connection to an instance, as a libpq connection string."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConnectionTarget:
-    """Where and as whom to connect."""
+    """The address, database and credentials for a connection."""
 
     host: str
     port: int
@@ -24,7 +24,7 @@
     application_name: str
 
     def conninfo(self) -> bytes:
-        """The connection string of libpq."""
+        """Return the connection string for libpq."""
         fields = {
             "hostaddr": self.host,
             "port": str(self.port),
--- a/src/orchidwind/elected/network/datagrams.py
+++ b/src/orchidwind/elected/network/datagrams.py
@@ -1,7 +1,7 @@
-"""Membership over UDP: the socket and the timer round the core class.
+"""Membership over UDP: drives `core/membership.py` with a socket and a timer.
 
-Owns: the socket, and the time of the next call. Relies on: `core/membership.py` for every
-decision; a datagram that is lost or not understood is as one that was never sent.
+Owns: the socket and the timer. Relies on: `core/membership.py` for every decision. A datagram that
+can't be decoded is treated as lost.
 """
 
 from __future__ import annotations
@@ -20,14 +20,18 @@
 from orchidwind.elected.network import codec
 from orchidwind.shared.logs import log_event
 
-# A deadline that has passed is served this much later, so that other work runs in between.
-_SHORTEST_TIMER_SECONDS = 0.001
-# Datagrams that are not understood are logged at most this often; anybody may send them.
+# The minimum delay of a timer, so that other tasks run before an expired deadline is handled.
+_MINIMUM_TIMER_SECONDS = 0.001
+# Undecodable datagrams are logged at most once in this time, since any host may send them.
 _LOG_DROPPED_SECONDS = 60.0
 
 
 class MembershipService(asyncio.DatagramProtocol):
-    """Drives `Membership` on the event loop."""
+    """Drives `Membership` on the event loop.
+
+    `on_view` is called when the members have changed, `on_version` with the name of a peer and the
+    configuration version that it announced.
+    """
 
     def __init__(
         self,
@@ -47,28 +51,28 @@
         self._log_dropped_at = self._loop.time()
 
     async def start(self, host: str, port: int) -> None:
-        """Open the socket and ask the seeds."""
+        """Open the socket and contact the seeds."""
         await self._loop.create_datagram_endpoint(lambda: self, local_addr=(host, port))
         self.perform(self.membership.start(self._loop.time()))
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The socket is open."""
+        """Keep the transport of the opened socket."""
         self._transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: tuple[str | object, int]) -> None:
-        """Take a datagram; what is no message is dropped."""
+        """Decode a datagram and pass it to the membership; drop it if it can't be decoded."""
         self.received_bytes += len(data)
         try:
             message = codec.decode_datagram(data)
         except codec.DecodeError as error:
-            self._note_dropped(addr, error)
+            self._record_dropped(addr, error)
             return
         self.perform(self.membership.receive(self._loop.time(), message))
 
     def error_received(self, exc: Exception) -> None:
-        """A port is closed; not logged, since the probe without an answer leads to a suspicion."""
+        """Ignore a closed port without a log line: the unanswered probe leads to a suspicion."""
 
-    def _note_dropped(self, sender: tuple[str | object, int], error: codec.DecodeError) -> None:
+    def _record_dropped(self, sender: tuple[str | object, int], error: codec.DecodeError) -> None:
         self._dropped += 1
         now = self._loop.time()
         if now >= self._log_dropped_at:
@@ -78,7 +82,7 @@
             )
 
     def perform(self, effects: Iterable[MembershipEffect]) -> None:
-        """Carry out effects and set the timer."""
+        """Carry out effects of the membership and set the timer."""
         view_changed = False
         versions: list[PeerVersion] = []
         for effect in effects:
@@ -95,7 +99,7 @@
             self._on_version(item.peer, item.version)
 
     def close(self) -> None:
-        """Close the socket."""
+        """Stop the timer and close the socket."""
         if self._timer is not None:
             self._timer.cancel()
         if self._transport is not None:
@@ -111,7 +115,7 @@
     def _set_timer(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
-        due = max(self.membership.deadline(), self._loop.time() + _SHORTEST_TIMER_SECONDS)
+        due = max(self.membership.deadline(), self._loop.time() + _MINIMUM_TIMER_SECONDS)
         self._timer = self._loop.call_at(due, self._on_timer)
 
     def _on_timer(self) -> None:
--- a/src/orchidwind/elected/network/front.py
+++ b/src/orchidwind/elected/network/front.py
@@ -1,6 +1,7 @@
-"""Sends requests to homes, in this process or over a link, and brings their answers back.
+"""Sends requests to home proxies, in this process or over a link, and returns their outcomes.
 
-Owns the numbers of requests and channels; `front_session.py` decides what is sent where.
+Owns the numbers of requests and channels; `front_session.py` decides which request goes to which
+home.
 """
 
 from __future__ import annotations
@@ -20,46 +21,46 @@
 from orchidwind.shared.core.admission import TrafficClass
 from orchidwind.shared.core.errors import PeerUnavailable
 
-# The home's own answer to a passed deadline says more, and has this long to come.
+# The home has this time after a deadline to send its own error, which gives more detail.
 _ANSWER_GRACE_SECONDS = 0.25
-# What a home may take after its last sign that a statement runs: above CONFIRM_SECONDS of
-# `core/commit_barrier.py`, with which it may still wait for the commit.
+# The time that a home may take after its last notice that a statement still runs: exceeds
+# CONFIRM_SECONDS of `core/commit_barrier.py`, for which it may still wait to confirm the commit.
 _CONFIRM_GRACE_SECONDS = 2.5
-# The origin of channels whose home is in the same process.
+# The origin of channels whose home is this proxy.
 LOCAL_ORIGIN = "local"
-# A quarter of the window of `link_answer.py`, so that an answer flows without a stop.
+# A quarter of the window of `link_answer.py`, so that credits arrive before the window is full.
 _CREDIT_BYTES = 128 * 1024
 
 
 @dataclass(frozen=True, slots=True)
 class Home:
-    """Where a database is served: here, or over a link."""
+    """The home of a database: this proxy if `link` is None, else the proxy at the link."""
 
     name: str
     link: PeerLink | None
 
 
 class Router(Protocol):
-    """What the front needs to know of the cluster."""
+    """Provides the cluster state that the front needs."""
 
     def home(self, database: str) -> Home | None:
-        """The home of a database for this node's zone."""
+        """Return the home of a database for this node's zone, or None if there is none."""
 
     def traffic_class(self, user: str, application_name: str, tag: str) -> TrafficClass:
-        """The traffic class of a request."""
+        """Return the traffic class of a request."""
 
 
 class RequestObserver(Protocol):
-    """Takes measurements of finished requests."""
+    """Records measurements of finished requests."""
 
     def finished(
         self, kind: RequestKind, traffic_class: str, outcome: Outcome, seconds: float
     ) -> None:
-        """A request of a class ended."""
+        """Record a finished request and its duration in seconds."""
 
 
 class FrontService:
-    """Sends requests to homes; shared by all callers of this node."""
+    """Sends requests to homes; shared by all callers' sessions of this node."""
 
     def __init__(
         self, router: Router, homes: HomeService, observer: RequestObserver | None = None
@@ -71,15 +72,15 @@
         self._numbers = count(1)
 
     def next_channel(self) -> int:
-        """A number for a new session, or for one that must not be confused with its past."""
+        """Return an unused channel number, for a new session or one that gives up its channel."""
         return next(self._channels)
 
     def next_number(self) -> int:
-        """A number for a request."""
+        """Return an unused request number."""
         return next(self._numbers)
 
     async def send(self, request: StatementRequest, home: Home, port: SinkPort) -> Outcome:
-        """Send to a home and wait for the outcome; raises PeerUnavailable."""
+        """Send a request to a home and return its outcome; raises PeerUnavailable."""
         if home.link is None:
             return await self._send_here(request, port)
         return await self._send_over(request, home.link, port)
@@ -132,24 +133,24 @@
     ) -> None:
         if isinstance(part, codec.ResultRows):
             await port.rows(part.encoded, part.count)
-            port.owed += len(part.encoded)
-            if port.owed >= _CREDIT_BYTES:
-                link.send(codec.Credit(part.number, port.owed))
-                port.owed = 0
+            port.uncredited_bytes += len(part.encoded)
+            if port.uncredited_bytes >= _CREDIT_BYTES:
+                link.send(codec.Credit(part.number, port.uncredited_bytes))
+                port.uncredited_bytes = 0
         elif isinstance(part, codec.ResultColumns):
             await port.columns(from_records(part.columns))
         else:
             await port.tag(part.tag)
 
     def cancel(self, home: Home, channel: int) -> None:
-        """Cancel what runs on a channel."""
+        """Cancel the request that runs on a channel."""
         if home.link is None:
             self._homes.cancel(ChannelKey(LOCAL_ORIGIN, channel))
         else:
             home.link.send(codec.Cancel(channel))
 
     def close_channel(self, home: Home, channel: int) -> None:
-        """The caller of a channel has gone."""
+        """Tell the home that the caller of a channel has disconnected."""
         if home.link is None:
             self._homes.close_channel(ChannelKey(LOCAL_ORIGIN, channel))
         else:
--- a/src/orchidwind/elected/network/front_session.py
+++ b/src/orchidwind/elected/network/front_session.py
@@ -1,7 +1,8 @@
-"""One caller's session at its front: plans each statement, and sends it until a home takes it.
+"""One caller's session at its front proxy: plans each statement and sends it to a home.
 
-Owns the channel of the session, and the home that holds its transaction. Relies on
-`core/caller_session.py` for what a statement is, on `core/retries.py` for what may be sent again.
+Owns the channel of the session and the home that holds its transaction. Relies on
+`core/caller_session.py` to classify statements and on `core/retries.py` to decide which requests
+may be sent again.
 """
 
 from __future__ import annotations
@@ -58,7 +59,7 @@
         return self.session.transaction_status
 
     async def execute(self, statement: Statement, sink: ResultSink) -> None:
-        """Run a statement here or at the home."""
+        """Run a statement locally or at the home; raises RequestError if it fails."""
         plan = self.session.plan(statement.sql)
         if isinstance(plan, LocalAnswer):
             await _answer_locally(plan, sink)
@@ -75,7 +76,7 @@
         await sink.complete(outcome.tag)
 
     async def describe(self, sql: str, parameter_types: tuple[int, ...]) -> Description:
-        """Tell the types of a statement."""
+        """Return the parameter and column types of a statement; raises RequestError."""
         plan: Plan = self.session.describe_plan(sql)
         if isinstance(plan, LocalAnswer) and not plan.column:
             return Description()
@@ -110,7 +111,7 @@
             request_id=plan.request_id,
             settings=self.session.settings,
         )
-        outcome = await self._send_until_taken(request, port)
+        outcome = await self._send_until_accepted(request, port)
         self.session.finished(outcome)
         if self._service.observer is not None:
             elapsed = self._loop.time() - started
@@ -119,8 +120,13 @@
             raise outcome.error
         return outcome
 
-    async def _send_until_taken(self, request: StatementRequest, port: SinkPort | None) -> Outcome:
-        """Try homes until one takes the request; what may have run is not sent again."""
+    async def _send_until_accepted(
+        self, request: StatementRequest, port: SinkPort | None
+    ) -> Outcome:
+        """Try homes until one accepts the request or the deadline nears, and return the outcome.
+
+        A request that may have run is not sent again.
+        """
         port = port or SinkPort(NullSink())
         while True:
             home = self._home_for(request)
@@ -139,7 +145,7 @@
                     if failed is not None:
                         return failed
                 else:
-                    if not _moved(outcome):
+                    if not _home_moved(outcome):
                         return outcome
             if not retry_home(self._loop.time(), request.expires_at):
                 error = RequestError(ErrorKind.NO_HOME, "no proxy serves this database now")
@@ -147,7 +153,7 @@
             await asyncio.sleep(HOME_RETRY_SECONDS)
 
     def _renumbered(self, request: StatementRequest) -> StatementRequest:
-        """The request under numbers that the lost home has not seen."""
+        """Return the request with new numbers, which the unreachable home has not seen."""
         self._channel = self._service.next_channel()
         return replace(
             request,
@@ -156,27 +162,30 @@
         )
 
     def _home_for(self, request: StatementRequest) -> Home | None:
-        """A transaction stays with the home that holds its connection."""
+        """Return the home for a request, or None if no proxy serves the database.
+
+        A transaction stays with the home that holds its server connection.
+        """
         if request.in_transaction:
             return self._home
         return self._service.router.home(request.database)
 
     def cancel(self) -> None:
-        """Pass a cancel request on."""
+        """Forward a cancel request to the home."""
         if self._home is not None:
             self._service.cancel(self._home, self._channel)
 
     def mark_failed(self) -> None:
-        """An error was answered without reaching the home."""
+        """Record that a statement was answered with an error without being sent to the home."""
         self.session.mark_failed()
 
     async def close(self) -> None:
-        """The caller has gone."""
+        """Release the channel at the home after the caller has disconnected."""
         if self._home is not None:
             self._service.close_channel(self._home, self._channel)
 
 
-def _moved(outcome: Outcome) -> bool:
+def _home_moved(outcome: Outcome) -> bool:
     return outcome.error is not None and outcome.error.kind is ErrorKind.NO_HOME
 
 
--- a/src/orchidwind/elected/network/group_runner.py
+++ b/src/orchidwind/elected/network/group_runner.py
@@ -1,7 +1,8 @@
-"""One database at its home: drives `core/home_group.py` with sockets and a timer.
+"""Runs one database at its home proxy: drives `core/home_group.py` with sockets and a timer.
 
-Owns the ports of the requests that run, and the timer of the group. Carries its effects out by
-`instance_connections.py`, `status_queries.py` and `slot_lending.py`, and hands their events back.
+Owns the answer ports of the running requests and the timer of the group. Carries out the effects of
+the group with `instance_connections.py`, `status_queries.py` and `slot_lending.py`, and passes
+their events back to it.
 """
 
 from __future__ import annotations
@@ -36,26 +37,27 @@
 from orchidwind.shared.core.pool import CloseConnection, OpenConnection
 from orchidwind.shared.task_set import TaskSet
 
-# A deadline that has passed is served this much later, so that other work runs in between.
-_SHORTEST_TIMER_SECONDS = 0.0005
+# The minimum delay of a timer, so that other tasks run before an expired deadline is handled.
+_MINIMUM_TIMER_SECONDS = 0.0005
 
 OnFinished = Callable[[Outcome], None]
 
 
 def group_options(database: DatabaseSettings) -> GroupOptions:
-    """The options of a group from the operators' file."""
+    """Return the options of a group from the settings of its database."""
     routing = RoutingSettings(longest_replica_wait=database.replica_wait_ms / 1000.0)
     return GroupOptions(acknowledge=database.acknowledge, routing=routing)
 
 
 class GroupRunner:
-    """One database at its home: the core class, and the sockets round it."""
+    """Connects the `HomeGroup` of one database to its sockets and its timer."""
 
     def __init__(
         self, database: DatabaseSettings, share: int, zone: str, leases: LeasePort
     ) -> None:
         self.database = database
-        # Milliseconds of the wall clock rise across restarts, and no lease takes one millisecond.
+        # Lease numbers rise across restarts: they start at the wall clock in milliseconds, and
+        # leases are granted less often than once a millisecond.
         self.leases = SlotLeases(share, first_number=time.time_ns() // 1_000_000)
         self._lending = SlotLending(self.leases, leases, self)
         shares = {instance.name: share for instance in database.instances}
@@ -75,33 +77,33 @@
     # --- requests, shares, configuration ------------------------------------------------------
 
     def submit(self, request: StatementRequest, port: AnswerPort, on_finished: OnFinished) -> None:
-        """Take a request; `on_finished` is called once."""
+        """Submit a request; `on_finished` is called once with its outcome."""
         self._ports[request.number] = (port, on_finished)
         self._perform(self.group.submit(self._loop.time(), request))
 
     def cancel(self, channel: ChannelKey) -> None:
-        """The caller asks to cancel."""
+        """Cancel the request that runs on a channel."""
         self._perform(self.group.cancel(self._loop.time(), channel))
 
     def close_channel(self, channel: ChannelKey) -> None:
-        """The caller has gone."""
+        """Release the state of a channel whose caller has disconnected."""
         self._perform(self.group.close_channel(self._loop.time(), channel))
 
     def set_share(self, share: int) -> None:
-        """The share that placement gives this home; leases come on top or off."""
+        """Set the share that the placement assigns to this home; leases add to it or reduce it."""
         self.leases.base_share = share
         self.apply_share()
 
     def lend(self, borrower: str, wanted: int) -> LeaseAnswer:
-        """Another home asks for connections."""
+        """Answer a lease request of another home."""
         return self._lending.lend(borrower, wanted)
 
-    def take_lease(self, lender: str, answer: LeaseAnswer) -> None:
-        """Another home answered."""
-        self._lending.take_lease(lender, answer)
+    def on_lease_answer(self, lender: str, answer: LeaseAnswer) -> None:
+        """Apply the answer of another home to a lease request."""
+        self._lending.on_lease_answer(lender, answer)
 
     def reconfigure(self, database: DatabaseSettings) -> None:
-        """Take what may change while the group runs: its options, and which instances leave."""
+        """Apply the settings that may change while the group runs: options, leaving instances."""
         self.database = database
         self._targets.database = database
         leaving = {instance.name for instance in database.instances if instance.leaving}
@@ -109,7 +111,7 @@
         self._perform(self.group.reconfigure(now, group_options(database), leaving))
 
     def close(self) -> None:
-        """Close every connection."""
+        """Stop the timers and tasks, and close every connection."""
         self._closed = True
         if self._timer is not None:
             self._timer.cancel()
@@ -118,34 +120,37 @@
         self._connections.close_all()
         self._status.close()
 
-    # --- what lending asks (SlotUser) ---------------------------------------------------------
+    # --- LendingHome --------------------------------------------------------------------------
 
     def apply_share(self) -> None:
-        """Hold as many connections as the leases say now."""
+        """Set the limit of open connections to the share that the leases allow now."""
         now = self._loop.time()
         shares = dict.fromkeys(self.group.connections.pools, self.leases.share(now))
         self._perform(self.group.set_shares(now, shares))
 
     def queued_requests(self) -> int:
-        """Requests that wait for a connection."""
+        """Return the number of requests that wait for a connection."""
         return self.group.connections.queued
 
     def spare_slots(self) -> int:
-        """Connections to each instance that nobody uses."""
+        """Return the number of unused slots for each instance."""
         return self.group.connections.spare
 
     # --- events (ConnectionEvents, StatusEvents) ----------------------------------------------
 
     def connection_opened(self, number: int) -> None:
-        """A connection is ready."""
+        """A connection has been opened."""
         self._perform(self.group.connection_opened(self._loop.time(), number))
 
     def connection_failed(self, number: int, limit_met: bool) -> None:
-        """A connection could not be opened; `limit_met`: the instance allows no more."""
+        """A connection could not be opened.
+
+        `limit_met` is True if the instance has reached its connection limit.
+        """
         self._perform(self.group.connection_failed(self._loop.time(), number, limit_met))
 
     def connection_lost(self, number: int, lost: BackendConnectionLost) -> None:
-        """A connection broke, or was given up."""
+        """A connection broke or was given up."""
         self._perform(self.group.connection_lost(self._loop.time(), number, lost))
 
     def run_finished(self, number: int, result: RunResult) -> None:
@@ -153,13 +158,13 @@
         self._perform(self.group.run_finished(self._loop.time(), number, result))
 
     def answer_port(self, request: int | None) -> AnswerPort | None:
-        """Where the rows for a request go; None where nobody takes them."""
+        """Return the port that receives the rows of a request, or None if none does."""
         if request is None or request not in self._ports:
             return None
         return self._ports[request][0]
 
     def idle_connections(self, instance: str) -> list[int]:
-        """The connections to an instance that nobody uses."""
+        """Return the numbers of the idle connections to an instance."""
         return list(self.group.connections.pools[instance].idle)
 
     def report(self, report: InstanceReport) -> None:
@@ -178,7 +183,7 @@
             self._perform_one(effect)
         self._set_timer()
         if self.group.connections.queued > 0:
-            self._lending.requests_wait()
+            self._lending.on_requests_queued()
 
     def _perform_one(self, effect: GroupEffect) -> None:
         match effect:
@@ -210,13 +215,13 @@
         self._connections.check_backend(effect.connection, instance)
 
     def _set_timer(self) -> None:
-        """Set an earlier timer; a later deadline waits for the timer that is set."""
+        """Set the timer unless it already expires earlier; `_on_timer` computes the next time."""
         due = self.group.deadline()
         if self._closed or due >= self._timer_due:
             return
         if self._timer is not None:
             self._timer.cancel()
-        self._timer_due = max(due, self._loop.time() + _SHORTEST_TIMER_SECONDS)
+        self._timer_due = max(due, self._loop.time() + _MINIMUM_TIMER_SECONDS)
         self._timer = self._loop.call_at(self._timer_due, self._on_timer)
 
     def _on_timer(self) -> None:
--- a/src/orchidwind/elected/network/link_answer.py
+++ b/src/orchidwind/elected/network/link_answer.py
@@ -1,7 +1,7 @@
-"""The home's side of one answer over a link: windows, and short answers in one message.
+"""The home proxy's side of one answer over a link: flow control and short answers in one message.
 
-Owns what of an answer is held back or under way. A long answer is held back by credits for each
-request, so that a caller that reads slowly stops only its own answer, not the link.
+Owns the part of an answer that is held back or in transit. Flow control uses credits per request,
+so that a caller that reads slowly delays only its own answer and not the link.
 """
 
 from __future__ import annotations
@@ -16,20 +16,20 @@
 from orchidwind.elected.network.answer_port import AnswerPort
 from orchidwind.elected.network.link_messages import to_records
 
-# Bytes of one answer that may be under way; bounds memory at the caller's proxy.
+# The bytes of one answer that may be in transit; bounds memory at the front proxy.
 _WINDOW_BYTES = 512 * 1024
-# Messages gathered into one write of the socket.
-_GATHERED_BYTES = 32 * 1024
-# An answer up to this size travels in one message (docs/DECISIONS.md, "One record a link
-# message"); a longer one leaves in pieces of it.
+# Messages are buffered up to this size before a write to the socket.
+_WRITE_BUFFER_BYTES = 32 * 1024
+# An answer up to this size is sent in one message (docs/DECISIONS.md, "One record a link
+# message"); a longer one is sent in pieces of about this size.
 _SHORT_ANSWER_BYTES = 16 * 1024
 
 
 class LinkAnswerPort(AnswerPort):
-    """Sends an answer over a link, a window at a time.
+    """Sends an answer over a link, limited by a flow-control window.
 
-    A short answer is held back and travels in the last message, so that most requests cost one
-    message each way.
+    A short answer is held back and sent in the last message, so that most requests need one message
+    in each direction.
     """
 
     def __init__(self, stream: IOStream, number: int) -> None:
@@ -39,17 +39,17 @@
         self._held_columns: tuple[Column, ...] | None = None
         self._held_rows = bytearray()
         self._held_count = 0
-        self._gathered = bytearray()
+        self._buffered = bytearray()
         self._ended = False
-        self._room = asyncio.Event()
+        self._window_open = asyncio.Event()
 
     async def columns(self, columns: tuple[Column, ...]) -> None:
-        """Hold the columns; those of an earlier result leave first."""
+        """Hold the columns, after sending those of an earlier result."""
         self._release_held()
         self._held_columns = columns
 
     async def rows(self, encoded: bytes, count: int) -> None:
-        """Hold or send rows; wait while the window is full."""
+        """Hold or send rows; waits while the window is full."""
         self._held_rows += encoded
         self._held_count += count
         if len(self._held_rows) < _SHORT_ANSWER_BYTES:
@@ -59,32 +59,32 @@
         if self._outstanding > _WINDOW_BYTES:
             self._flush()
         while self._outstanding > _WINDOW_BYTES and not self._ended:
-            self._room.clear()
-            await self._room.wait()
+            self._window_open.clear()
+            await self._window_open.wait()
 
     async def tag(self, command_tag: str) -> None:
-        """Send a tag."""
+        """Send a command tag, after the held columns and rows."""
         self._release_held()
         self._write(codec.ResultTag(self._number, command_tag))
 
     def still_running(self) -> None:
-        """Let the caller's proxy wait on."""
+        """Tell the front proxy to continue waiting."""
         self._write(codec.StillRunning(self._number))
         self._flush()
 
     def credit(self, count: int) -> None:
-        """The caller took bytes."""
+        """Add credit for bytes that the caller has read."""
         self._outstanding -= count
-        self._room.set()
+        self._window_open.set()
 
     def release(self) -> None:
-        """The request is over or the link is gone: let the answer run out."""
+        """Stop sending and wake a waiting sender: the request has ended or the link has closed."""
         self._ended = True
-        self._room.set()
+        self._window_open.set()
 
     def finish(self, answer: codec.Done | codec.Failed) -> None:
-        """Send the last message of the answer, with what was held."""
-        if isinstance(answer, codec.Failed) or self._gathered:
+        """Send the last message of the answer, with the held columns and rows."""
+        if isinstance(answer, codec.Failed) or self._buffered:
             self._release_held()
         elif self._held_columns is not None:
             answer = msgspec.structs.replace(
@@ -113,11 +113,11 @@
     def _write(self, message: codec.LinkMessage) -> None:
         if self._ended:
             return
-        self._gathered += codec.encode_frame(message)
-        if len(self._gathered) >= _GATHERED_BYTES:
+        self._buffered += codec.encode_frame(message)
+        if len(self._buffered) >= _WRITE_BUFFER_BYTES:
             self._flush()
 
     def _flush(self) -> None:
-        data, self._gathered = bytes(self._gathered), bytearray()
+        data, self._buffered = bytes(self._buffered), bytearray()
         if data and not self._stream.closed():
             self._stream.write(data)
--- a/src/orchidwind/elected/network/link_messages.py
+++ b/src/orchidwind/elected/network/link_messages.py
@@ -1,7 +1,7 @@
-"""Requests and outcomes as they go over a link between proxies, and back.
+"""Converts requests and outcomes to messages of a link between proxies, and back.
 
-For: both ends of a link. Owns: the translation between `core/statements.py` and the records of
-`codec.py`. Relies on: ids of both enums staying as the schema has them.
+Used by both ends of a link. Owns: the conversion between `core/statements.py` and the records of
+`codec.py`. Relies on: the values of the enums matching the schema.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 def to_execute(request: StatementRequest, now: float) -> codec.Execute:
-    """A request as it goes over the link; the deadline travels as the time left."""
+    """Convert a request to a message; the deadline is sent as the remaining time."""
     statement, floor, traffic_class = request.statement, request.floor, request.traffic_class
     return codec.Execute(
         number=request.number,
@@ -54,7 +54,7 @@
 
 
 def from_execute(message: codec.Execute, origin: str, number: int, now: float) -> StatementRequest:
-    """A request as the home takes it, under the home's own number."""
+    """Convert a message to a request at the home, under the home's own number."""
     return StatementRequest(
         number=number,
         channel=ChannelKey(origin, message.channel),
@@ -87,7 +87,7 @@
 
 
 def to_answer(outcome: Outcome, number: int) -> codec.Done | codec.Failed:
-    """An outcome as it goes over the link."""
+    """Convert an outcome to a message."""
     error = outcome.error
     if error is not None:
         return codec.Failed(
@@ -115,7 +115,7 @@
 
 
 def from_answer(answer: codec.Done | codec.Failed) -> Outcome:
-    """An outcome as the caller's proxy takes it."""
+    """Convert a message to an outcome at the front proxy."""
     if isinstance(answer, codec.Failed):
         error = RequestError(
             ErrorKind(answer.kind),
@@ -140,7 +140,7 @@
 
 
 def to_records(columns: tuple[Column, ...]) -> tuple[codec.ColumnRecord, ...]:
-    """Columns as they go over the link."""
+    """Convert columns to records."""
     return tuple(
         codec.ColumnRecord(
             column.name,
@@ -155,7 +155,7 @@
 
 
 def from_records(records: tuple[codec.ColumnRecord, ...]) -> tuple[Column, ...]:
-    """Columns as they came over the link."""
+    """Convert records to columns."""
     return tuple(
         Column(
             record.name,
--- a/src/orchidwind/elected/network/link_server.py
+++ b/src/orchidwind/elected/network/link_server.py
@@ -1,4 +1,4 @@
-"""The home's side of links: takes the links of other proxies, one from each.
+"""The home proxy's side of links: accepts one link from each other proxy.
 
 Owns the open links; `link_session.py` serves each of them.
 """
@@ -20,7 +20,7 @@
 
 
 class LinkServer(TCPServer):
-    """Takes links of other proxies."""
+    """Accepts links from other proxies."""
 
     def __init__(
         self,
@@ -35,16 +35,16 @@
         self._by_peer: dict[str, LinkSession] = {}
 
     async def handle_stream(self, stream: IOStream, address: tuple[str, int]) -> None:
-        """Serve one link to its end."""
-        configure_socket(stream.socket)
+        """Serve one link until it closes."""
+        watchful(stream.socket)
         self._streams.add(stream)
         session = LinkSession(
-            stream, self._homes, self._configuration, next(self._serials), self._greeted
+            stream, self._homes, self._configuration, next(self._serials), self._on_hello
         )
         try:
             await session.run()
         except StreamClosedError:
-            pass  # how each link ends; the other proxy logs what it had under way
+            pass  # the normal end of a link; the other proxy logs the requests that were pending
         except (codec.DecodeError, ValueError) as error:
             log_event("peer_link_refused", peer=session.peer, reason=repr(error))
             stream.close()
@@ -54,18 +54,20 @@
                 del self._by_peer[session.peer]
             session.end()
 
-    def _greeted(self, session: LinkSession) -> None:
-        """A proxy holds one link to each other: a new one tells that the last one is gone.
+    def _on_hello(self, session: LinkSession) -> None:
+        """Register the link of a proxy and close its previous link.
 
-        That one may be silent for good, without an end: what is open on it is rolled back now.
+        A proxy holds one link to each other proxy, so a new link shows that the previous one is no
+        longer in use. That one may be silent and never close by itself; closing it rolls back its
+        open transactions now.
         """
-        older = self._by_peer.get(session.peer)
+        previous = self._by_peer.get(session.peer)
         self._by_peer[session.peer] = session
-        if older is not None:
-            log_event("peer_link_replaced", peer=session.peer, channels=older.channels)
-            older.cut()
+        if previous is not None:
+            log_event("peer_link_replaced", peer=session.peer, channels=previous.channels)
+            previous.close()
 
     def close_links(self) -> None:
-        """Cut all links."""
+        """Close all links."""
         for stream in list(self._streams):
             stream.close()
--- a/src/orchidwind/elected/network/link_session.py
+++ b/src/orchidwind/elected/network/link_session.py
@@ -1,4 +1,4 @@
-"""One link at the home's side: what another proxy asks of this one, message by message.
+"""The home proxy's side of one link: handles the messages that another proxy sends.
 
 Owns the channels and the answers of that proxy's callers, which end with the link.
 """
@@ -19,7 +19,10 @@
 
 
 class LinkSession:
-    """The state of one link at the home's side."""
+    """Serves one link at the home proxy.
+
+    `on_hello` is called once the other proxy has sent its name.
+    """
 
     def __init__(
         self,
@@ -27,10 +30,10 @@
         homes: HomeService,
         configuration: Callable[[], codec.ConfigurationReply | None],
         serial: int,
-        on_greeting: Callable[[LinkSession], None],
+        on_hello: Callable[[LinkSession], None],
     ) -> None:
         self.peer = ""
-        self._on_greeting = on_greeting
+        self._on_hello = on_hello
         self._stream = stream
         self._homes = homes
         self._configuration = configuration
@@ -40,34 +43,37 @@
         self._loop = asyncio.get_running_loop()
 
     async def run(self) -> None:
-        """Read messages until the link ends."""
+        """Handle messages until the link closes.
+
+        Raises StreamClosedError when it closes, DecodeError or ValueError for a malformed message.
+        """
         frames = FrameStream(self._stream)
         hello = await frames.next()
         if not isinstance(hello, codec.Hello):
             raise codec.DecodeError("a link begins with Hello")
         self.peer = hello.node
         self._origin = f"{hello.node}/{self._origin}"
-        self._on_greeting(self)
+        self._on_hello(self)
         while True:
-            self._take(await frames.next())
+            self._handle(await frames.next())
 
     @property
     def channels(self) -> int:
-        """How many callers have had work here."""
+        """The number of open channels."""
         return len(self._channels)
 
-    def cut(self) -> None:
-        """End the link from here."""
+    def close(self) -> None:
+        """Close the link."""
         self._stream.close()
 
     def end(self) -> None:
-        """The link is gone, and so are its callers."""
+        """Release the answers and channels of the other proxy's callers; the link has closed."""
         for port in self._ports.values():
             port.release()
         for channel in self._channels:
             self._homes.close_channel(ChannelKey(self._origin, channel))
 
-    def _take(self, message: codec.LinkMessage) -> None:
+    def _handle(self, message: codec.LinkMessage) -> None:
         if isinstance(message, codec.Execute):
             self._execute(message)
         elif isinstance(message, codec.Credit):
--- a/src/orchidwind/elected/network/link_silence.py
+++ b/src/orchidwind/elected/network/link_silence.py
@@ -1,7 +1,8 @@
-"""Finds out that a link of the PostgreSQL edge is silent: when to probe it, when to give it up.
+"""Detects a silent link between proxies: decides when to probe it and when to give it up.
 
-An open link may swallow all that is sent, for good, while a new one works. A statement may run for
-long, so its silence shows nothing: the other side answers a probe whatever it runs.
+An open TCP connection may permanently lose everything that is sent on it while a new connection to
+the same address works. A missing answer alone does not show this, since a statement may run for a
+long time. The other proxy therefore answers a probe at once, whatever statements it runs.
 """
 
 from __future__ import annotations
@@ -10,60 +11,69 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-# Above a round trip between regions, so that most answers come without a probe.
+# Exceeds a round trip between regions, so that most answers arrive before a probe is sent.
 PROBE_AFTER_SECONDS = 0.25
-# Two lost packets in a row come again by then, and the shortest deadline of a class is 5 s
-# by default.
+# A link on which an answer is expected is given up after this time without received bytes. TCP has
+# retransmitted two packets lost in a row by then, and the shortest default deadline of a traffic
+# class is 5 s.
 SILENT_SECONDS = 1.0
-# One that was used lately is probed at rest, so that no request finds out first.
-REST_PROBE_SECONDS = 1.0
-# Bounds the probes of a link that nobody uses any longer.
+# A recently used link is probed after this time without received bytes, so that a silent link is
+# detected before the next request is sent on it.
+IDLE_PROBE_SECONDS = 1.0
+# An idle link is probed only for this time after its last use.
 _IN_USE_SECONDS = 5.0
-# A silence is noticed so late at the latest, a tenth of the time that it takes.
-_CHECK_SECONDS = 0.1
+# Bounds the delay of detection: a tenth of SILENT_SECONDS.
+_CHECK_INTERVAL_SECONDS = 0.1
 
 
 @dataclass(frozen=True, slots=True)
 class LinkActions:
-    """What is done about a link. `owed` tells how many answers are waited for on it."""
+    """Callbacks of the timer for one link.
+
+    `give_up` receives the age of the link and the duration of its silence, in seconds.
+    `pending_answers` returns the number of requests on the link that wait for an answer.
+    """
 
     probe: Callable[[], None]
     give_up: Callable[[float, float], None]
-    owed: Callable[[], int]
+    pending_answers: Callable[[], int]
 
 
 class LinkSilenceTimer:
-    """The silence of one open link. `give_up` gets its age and its silence, in seconds."""
+    """Detects the silence of one open link and calls `LinkActions`."""
 
     def __init__(self, actions: LinkActions) -> None:
         self._actions = actions
         self._loop = asyncio.get_running_loop()
         self._opened_at = self._used_at = self._last_bytes_at = self._loop.time()
-        # Since when an answer, or that of a probe, is due from the other side; None: none is.
-        self._owed_since: float | None = None
+        # Since when an answer to a request or a probe is expected; None if none is.
+        self._waiting_since: float | None = None
         self._probed_at = float("-inf")
         self._timer: asyncio.TimerHandle | None = None
 
-    def used(self) -> None:
-        """A message was sent for somebody: an answer is due for it, that of a probe at least."""
+    def message_sent(self) -> None:
+        """Record that a message was sent on the link.
+
+        The other side is now expected to send something, if only the answer to a probe.
+        """
         self._used_at = self._loop.time()
-        self._owe()
+        self._expect_answer()
 
-    def bytes_came(self) -> None:
-        """The other side is alive: it sent something."""
+    def bytes_received(self) -> None:
+        """Record that the other side sent something, so that the link is not silent."""
         self._last_bytes_at = self._loop.time()
-        self._owed_since = self._last_bytes_at if self._actions.owed() else None
+        self._waiting_since = self._last_bytes_at if self._actions.pending_answers() else None
 
     def close(self) -> None:
-        """The link has ended."""
+        """Stop the timer; called when the link has closed."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
 
-    def _owe(self) -> None:
-        if self._owed_since is None:
-            self._owed_since = self._loop.time()
-        self._check_in(_CHECK_SECONDS)
+    def _expect_answer(self) -> None:
+        if self._waiting_since is None:
+            self._waiting_since = self._loop.time()
+        self._check_in(_CHECK_INTERVAL_SECONDS)
 
     def _check_in(self, seconds: float) -> None:
         if self._timer is None:
@@ -72,24 +82,24 @@
     def _check(self) -> None:
         self._timer = None
         now = self._loop.time()
-        if self._owed_since is None:
-            self._check_at_rest(now)
+        if self._waiting_since is None:
+            self._check_idle(now)
             return
-        silent = now - self._owed_since
+        silent = now - self._waiting_since
         if silent > SILENT_SECONDS:
             self._actions.give_up(now - self._opened_at, silent)
             return
         if silent > PROBE_AFTER_SECONDS and now - self._probed_at > PROBE_AFTER_SECONDS:
             self._probe(now)
-        self._check_in(_CHECK_SECONDS)
+        self._check_in(_CHECK_INTERVAL_SECONDS)
 
-    def _check_at_rest(self, now: float) -> None:
+    def _check_idle(self, now: float) -> None:
         if now - self._used_at > _IN_USE_SECONDS:
             return
-        if now - self._last_bytes_at >= REST_PROBE_SECONDS:
+        if now - self._last_bytes_at >= IDLE_PROBE_SECONDS:
             self._probe(now)
-            self._owe()
-        self._check_in(_CHECK_SECONDS)
+            self._expect_answer()
+        self._check_in(_CHECK_INTERVAL_SECONDS)
 
     def _probe(self, now: float) -> None:
         self._probed_at = now
--- a/src/orchidwind/elected/network/object_api_client.py
+++ b/src/orchidwind/elected/network/object_api_client.py
@@ -1,6 +1,6 @@
 """Client of the object API: read, compare-and-swap and watch the configuration; list machines.
 
-Owns the form of its objects on the wire, and the errors of its answers.
+Owns the wire format of the objects and the conversion of failed calls to errors.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
 from orchidwind.shared.core.errors import PlatformConflict, PlatformError, PlatformVersionGone
 
 OBJECT_NAME = "configuration"
-# A read or a write of the whole configuration; 1 MB takes 1.6 s at 5 Mbit/s.
+# The time limit for reading or writing the whole configuration; 1 MB takes 1.6 s at 5 Mbit/s.
 _REQUEST_SECONDS = 3.0
-# Above any configuration; bounds memory against a faulty store.
+# Exceeds any configuration; bounds memory use if the platform is faulty.
 _MAXIMUM_BODY_BYTES = 64 * 1024 * 1024
-# Status codes of HTTP.
+# HTTP status codes.
 _CONFLICT = 409
 _NOT_FOUND = 404
 _GONE = 410
@@ -37,7 +37,8 @@
 class ConfigurationObject(msgspec.Struct):
     """The object that holds the whole configuration.
 
-    `attempt` identifies the write that made it, so that a lost answer is settled by reading back.
+    `attempt` identifies the write that created this version, so that a writer whose answer was lost
+    can find out by a read whether its write succeeded.
     """
 
     metadata: Metadata
@@ -45,19 +46,19 @@
     attempt: str = ""
 
     def document(self) -> ConfigurationDocument:
-        """The configuration with its version as a number."""
+        """Return the configuration with its version as a number."""
         return ConfigurationDocument(int(self.metadata.resource_version), self.spec)
 
 
 class WatchEvent(msgspec.Struct):
-    """One line of a watch."""
+    """One line of the response to a watch request."""
 
     type: str
     object: ConfigurationObject
 
 
 class MachineEntry(msgspec.Struct, rename="camel"):
-    """One machine of the platform's list."""
+    """One machine in the platform's list."""
 
     name: str
     zone: str
@@ -67,19 +68,22 @@
 
 
 class ObjectApiClient:
-    """Talks to one platform service at a base URL."""
+    """Calls the platform service at a base URL."""
 
     def __init__(self, url: str) -> None:
         self._url = url.rstrip("/")
         self._client = AsyncHTTPClient(max_body_size=_MAXIMUM_BODY_BYTES)
 
     async def read(self) -> ConfigurationObject | None:
-        """The configuration, None where there is none; raises PlatformError."""
+        """Return the configuration, or None if there is none; raises PlatformError."""
         body = await self._fetch(HTTPRequest(self._object_url(), request_timeout=_REQUEST_SECONDS))
         return None if body is None else _decode(body, ConfigurationObject)
 
     async def write(self, item: ConfigurationObject) -> ConfigurationObject:
-        """Compare and swap; raises PlatformConflict, or PlatformError where nothing is known."""
+        """Replace the configuration if its version is unchanged, and return the stored object.
+
+        Raises PlatformConflict if the version differs, PlatformError if the result is unknown.
+        """
         request = HTTPRequest(
             self._object_url(),
             method="PUT",
@@ -92,19 +96,20 @@
         return _decode(body, ConfigurationObject)
 
     async def machines(self) -> list[MachineEntry]:
-        """The lagging list of machines; raises PlatformError."""
+        """Return the list of machines, which may be out of date; raises PlatformError."""
         url = f"{self._url}/apis/orchidwind/v1/machines"
         body = await self._fetch(HTTPRequest(url, request_timeout=_REQUEST_SECONDS))
         return [] if body is None else _decode(body, list[MachineEntry])
 
     async def watch(self, version: int, on_event: Callable[[ConfigurationObject], None]) -> None:
-        """Follow changes after `version` until the connection ends.
+        """Call `on_event` for each change after `version` until the connection closes.
 
-        Raises PlatformVersionGone where the platform no longer holds that version.
+        Raises PlatformVersionGone if the platform no longer holds that version, PlatformError if
+        the call fails.
         """
         buffer = bytearray()
 
-        def take(chunk: bytes) -> None:
+        def on_chunk(chunk: bytes) -> None:
             buffer.extend(chunk)
             while (end := buffer.find(b"\n")) >= 0:
                 line = bytes(buffer[:end])
@@ -112,7 +117,7 @@
                 on_event(_decode(line, WatchEvent).object)
 
         url = f"{self._object_url()}?watch=true&resourceVersion={version}"
-        request = HTTPRequest(url, streaming_callback=take, request_timeout=0)
+        request = HTTPRequest(url, streaming_callback=on_chunk, request_timeout=0)
         await self._fetch(request)
 
     def _object_url(self) -> str:
--- a/src/orchidwind/elected/network/observer.py
+++ b/src/orchidwind/elected/network/observer.py
@@ -1,6 +1,6 @@
-"""Asks one database instance for its role, term and log positions.
+"""Queries one database instance for its role, term and log positions.
 
-For: `status_queries.py`. Owns: one connection as the status user. Relies on: a user that may use
+Used by `status_queries.py`. Owns: one connection as the status user. Relies on: a user that may use
 reserved connections and read `pg_stat_wal_receiver` (docs/OPERATIONS.md).
 """
 
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InstanceStatusRow:
-    """The answer to the status query."""
+    """The parsed answer to the status query."""
 
     in_recovery: bool
     term: int
@@ -37,14 +37,14 @@
 
 
 class Observer:
-    """A status connection; the query is prepared once, since it is asked for ever."""
+    """A status connection; the status query is prepared once, since it is repeated continually."""
 
     def __init__(self, connection: BackendConnection) -> None:
         self._connection = connection
 
     @classmethod
     async def open(cls, target: ConnectionTarget) -> Observer:
-        """Connect and prepare; raises BackendRefused or BackendConnectionLost."""
+        """Connect and prepare the query; raises BackendRefused or BackendConnectionLost."""
         connection = await BackendConnection.open(target, lambda: None)
         try:
             await connection.prepare(_PREPARED_NAME, STATUS_QUERY)
@@ -62,8 +62,8 @@
         """Close the connection."""
         self._connection.close()
 
-    async def ask(self) -> InstanceStatusRow:
-        """One status query; raises BackendConnectionLost or BackendRefused."""
+    async def read_status(self) -> InstanceStatusRow:
+        """Run the status query; raises BackendConnectionLost or BackendRefused."""
         result = await self._connection.run_prepared(_PREPARED_NAME)
         if result.error is not None:
             raise BackendRefused(result.error.message, result.error.sqlstate)
--- a/src/orchidwind/elected/network/operator_http.py
+++ b/src/orchidwind/elected/network/operator_http.py
@@ -1,7 +1,7 @@
 """The operators' HTTP port: `/metrics`, `/healthz`, `/readyz`, `/status`, `POST /drain`.
 
-Owns: the forms that operators and their programs read. Relies on: the daemon (`Operated`) for what
-they show; nothing is decided here.
+Owns: the formats that operators and their programs read. Relies on: the daemon (`OperatorTarget`)
+for the data and for the planned stop.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class MemberStatus(msgspec.Struct, frozen=True):
-    """One proxy as this one sees it."""
+    """The state of one member of the cluster, as this proxy sees it."""
 
     name: str
     zone: str
@@ -22,8 +22,11 @@
     leaving: bool
 
 
-class InstancePage(msgspec.Struct, frozen=True):
-    """One database instance as its home here sees it. Positions are TERM:LSN."""
+class InstanceStatus(msgspec.Struct, frozen=True):
+    """The state of a database instance as last reported to its home here.
+
+    `received` is a log position in the form TERM:LSN.
+    """
 
     name: str
     reachable: bool
@@ -36,11 +39,11 @@
 
 
 class DatabaseStatus(msgspec.Struct, frozen=True):
-    """One database that this proxy is home of."""
+    """The state of a database that this proxy is home of."""
 
     name: str
     primary: str
-    instances: list[InstancePage]
+    instances: list[InstanceStatus]
     open_transactions: int
     commits_waiting: int
 
@@ -58,16 +61,16 @@
     databases: list[DatabaseStatus]
 
 
-class Operated(ABC):
-    """What the port shows and does."""
+class OperatorTarget(ABC):
+    """Provides the data and operations of the operators' port; implemented by the daemon."""
 
     @abstractmethod
     def status(self) -> ProxyStatus:
-        """The state of the proxy."""
+        """Return the state of the proxy."""
 
     @abstractmethod
     def metrics(self) -> bytes:
-        """The figures."""
+        """Return the metrics in Prometheus' text format."""
 
     @abstractmethod
     def drain(self) -> None:
@@ -75,10 +78,10 @@
 
 
 class _Handler(tornado.web.RequestHandler):
-    operated: Operated
+    operated: OperatorTarget
 
-    def initialize(self, operated: Operated) -> None:
-        """Take the proxy."""
+    def initialize(self, operated: OperatorTarget) -> None:
+        """Keep the proxy that the handler serves."""
         self.operated = operated
 
 
@@ -86,16 +89,16 @@
     """`GET /metrics`."""
 
     def get(self) -> None:
-        """Show the figures."""
+        """Send the metrics."""
         self.set_header("Content-Type", "text/plain; version=0.0.4")
         self.finish(self.operated.metrics())
 
 
 class HealthHandler(_Handler):
-    """`GET /healthz`: the process runs."""
+    """`GET /healthz`: 200 while the process runs."""
 
     def get(self) -> None:
-        """Answer."""
+        """Answer that the process runs."""
         self.finish("ok\n")
 
 
@@ -103,7 +106,7 @@
     """`GET /readyz`: 200 while callers may connect, else 503."""
 
     def get(self) -> None:
-        """Answer."""
+        """Answer whether the proxy is ready."""
         ready = self.operated.status().ready
         self.set_status(200 if ready else 503)
         self.finish("ready\n" if ready else "not ready\n")
@@ -113,7 +116,7 @@
     """`GET /status`."""
 
     def get(self) -> None:
-        """Show the state."""
+        """Send the state of the proxy as JSON."""
         self.set_header("Content-Type", "application/json")
         self.finish(msgspec.json.encode(self.operated.status()))
 
@@ -128,8 +131,8 @@
         self.finish("draining\n")
 
 
-def listen(operated: Operated, host: str, port: int) -> HTTPServer:
-    """Open the port."""
+def listen(operated: OperatorTarget, host: str, port: int) -> HTTPServer:
+    """Open the operators' port and return its server."""
     routes = [
         ("/metrics", MetricsHandler),
         ("/healthz", HealthHandler),
--- a/src/orchidwind/elected/network/peer_link.py
+++ b/src/orchidwind/elected/network/peer_link.py
@@ -1,7 +1,7 @@
-"""The caller's side of links: one TCP stream to a home carries the requests of many callers.
+"""The front proxy's side of a link: one TCP connection to a home proxy carries many requests.
 
-Each answer carries its request's number, so late and reordered answers find their caller or are
-dropped.
+Each answer carries the number of its request, so late and reordered answers reach the right caller
+or are dropped.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 from orchidwind.shared.silence import ConnectionKind, SilentConnection, log_silent_connection
 from orchidwind.shared.sockets import configure_socket
 
-# As long as an open link may be silent (`link_silence.py`).
+# Equal to the time after which an open link counts as silent (`link_silence.py`).
 _LINK_CONNECT_SECONDS = 1.0
 
 AnswerPart = (
@@ -40,7 +40,7 @@
 
 
 class PeerLink:
-    """One link to another proxy, opened when it is first needed."""
+    """A link to another proxy, connected on first use and reconnected after a loss."""
 
     def __init__(
         self,
@@ -49,8 +49,8 @@
         port: int,
         on_notice: Callable[[codec.ConfigurationReply | codec.LeaseReply], None],
     ) -> None:
-        """`on_notice` takes what is no part of a request's answer."""
-        self._own = own
+        """`own` is the name of this proxy; `on_notice` receives messages that answer no request."""
+        self._own_name = own
         self._address = (host, port)
         self._on_notice = on_notice
         self._stream: IOStream | None = None
@@ -61,11 +61,11 @@
 
     @property
     def address(self) -> tuple[str, int]:
-        """Where the link goes."""
+        """The host and port of the other proxy."""
         return self._address
 
     async def open(self) -> None:
-        """Connect if need be; raises PeerUnavailable."""
+        """Connect unless the link is open; raises PeerUnavailable."""
         async with self._connecting:
             if self._stream is not None and not self._stream.closed():
                 return
@@ -76,14 +76,14 @@
                     )
             except (OSError, StreamClosedError, TimeoutError) as error:
                 raise PeerUnavailable(str(error) or "no connection", sent=False) from error
-            configure_socket(stream.socket)
-            stream.write(codec.encode_frame(codec.Hello(self._own)))
+            watchful(stream.socket)
+            stream.write(codec.encode_frame(codec.Hello(self._own_name)))
             self._stream = stream
-            self._silence = LinkSilenceTimer(self._actions(stream))
+            self._silence = LinkSilenceTimer(self._silence_actions(stream))
             self._reader = asyncio.create_task(self._read(stream))
 
     async def execute(self, message: codec.Execute) -> PendingAnswer:
-        """Send a request; raises PeerUnavailable."""
+        """Send a request and return its pending answer; raises PeerUnavailable."""
         await self.open()
         pending = PendingAnswer()
         self._pending[message.number] = pending
@@ -91,17 +91,17 @@
         return pending
 
     def forget(self, number: int) -> None:
-        """Nobody waits for this answer any longer; late parts are dropped."""
+        """Stop waiting for an answer; parts that arrive later are dropped."""
         self._pending.pop(number, None)
 
     def send(self, message: codec.LinkMessage) -> None:
-        """Send a message if the link is up."""
+        """Send a message if the link is open; drop it otherwise."""
         if self._stream is not None and not self._stream.closed():
             self._stream.write(codec.encode_frame(message))
             if self._silence is not None:
-                self._silence.used()
+                self._silence.message_sent()
 
-    def _actions(self, stream: IOStream) -> LinkActions:
+    def _silence_actions(self, stream: IOStream) -> LinkActions:
         def probe() -> None:
             if not stream.closed():
                 stream.write(codec.encode_frame(codec.LinkProbe()))
@@ -115,7 +115,7 @@
                     opened_for,
                     silent_for,
                     len(self._pending),
-                    "it is opened anew",
+                    "it is reopened",
                 )
             )
             stream.close()
@@ -123,18 +123,18 @@
         return LinkActions(probe, give_up, lambda: len(self._pending))
 
     def close(self) -> None:
-        """Cut the link; requests that wait on it fail with PeerUnavailable."""
+        """Close the link; requests that wait for an answer fail with PeerUnavailable."""
         if self._stream is not None:
             self._stream.close()
 
     async def _read(self, stream: IOStream) -> None:
         silence = self._silence
         assert silence is not None
-        frames = FrameStream(stream, silence.bytes_came)
+        frames = FrameStream(stream, silence.bytes_received)
         try:
             while True:
-                self._take(await frames.next())
-                silence.bytes_came()
+                self._dispatch(await frames.next())
+                silence.bytes_received()
         except (StreamClosedError, codec.DecodeError) as error:
             stream.close()
             silence.close()
@@ -142,7 +142,7 @@
             for item in pending.values():
                 item.parts.put_nowait(PeerUnavailable(str(error), sent=True))
 
-    def _take(self, message: codec.LinkMessage) -> None:
+    def _dispatch(self, message: codec.LinkMessage) -> None:
         if isinstance(message, codec.ConfigurationReply | codec.LeaseReply):
             self._on_notice(message)
         elif isinstance(message, AnswerPart):
--- a/src/orchidwind/elected/network/sink_port.py
+++ b/src/orchidwind/elected/network/sink_port.py
@@ -1,4 +1,4 @@
-"""Passes the parts of an answer from the home to the caller's connection."""
+"""Forwards the parts of an answer from the home to the caller's connection."""
 
 from __future__ import annotations
 
@@ -8,31 +8,31 @@
 
 
 class SinkPort(AnswerPort):
-    """The answer to one request.
+    """Forwards the answer to one request.
 
-    `delivered` tells whether a part of it went to the caller; `owed` are the bytes that the caller
-    took since the home was last sent a credit.
+    `delivered` is True once any part of it was passed to the caller's connection.
+    `uncredited_bytes` counts the bytes passed on since the last credit was sent to the home.
     """
 
     def __init__(self, sink: ResultSink) -> None:
         self._sink = sink
         self.delivered = False
-        self.owed = 0
+        self.uncredited_bytes = 0
 
     async def columns(self, columns: tuple[Column, ...]) -> None:
-        """Pass the columns on."""
+        """Forward the columns."""
         self.delivered = True
         await self._sink.columns(columns)
 
     async def rows(self, encoded: bytes, count: int) -> None:
-        """Pass rows on."""
+        """Forward rows."""
         self.delivered = True
         await self._sink.rows(encoded, count)
 
     async def tag(self, command_tag: str) -> None:
-        """Pass a tag on."""
+        """Forward a command tag."""
         self.delivered = True
         await self._sink.complete(command_tag)
 
     def still_running(self) -> None:
-        """The caller waits anyway."""
+        """Do nothing: the caller waits for the answer in any case."""
--- a/src/orchidwind/elected/network/slot_lending.py
+++ b/src/orchidwind/elected/network/slot_lending.py
@@ -1,6 +1,7 @@
-"""Borrows and lends server connections of one database between its homes.
+"""Borrows and lends connection slots of one database between its home proxies.
 
-Owns the timer of the leases; `core/slot_leases.py` decides, `LeasePort` reaches the other homes.
+Owns the timer of the leases. `core/slot_leases.py` decides what is lent and borrowed; `LeasePort`
+sends requests to the other homes.
 """
 
 from __future__ import annotations
@@ -11,65 +12,68 @@
 from orchidwind.elected.core.configuration import DatabaseSettings
 from orchidwind.elected.core.slot_leases import LeaseAnswer, SlotLeases
 
-# Requests that wait for longer let the home borrow connections (docs/DECISIONS.md,
-# "Slots are lent between homes"). Seconds.
-_SHORT_OF_SLOTS_SECONDS = 0.1
-# Connections asked of each lender; it lends what it can spare.
+# A home asks to borrow connections once requests have been queued for this time
+# (docs/DECISIONS.md, "Slots are lent between homes").
+_BORROW_AFTER_SECONDS = 0.1
+# The number of connections requested from each lender; a lender grants at most its spare ones.
 _WANTED_SLOTS = 4
 
 
 class LeasePort(Protocol):
-    """How a home reaches the other homes of a database."""
+    """Sends lease requests to the other homes of a database."""
 
     def other_homes(self, database: DatabaseSettings) -> list[str]:
-        """The homes of the other zones."""
+        """Return the names of the homes in the other zones."""
 
-    def ask(self, lender: str, database: str, wanted: int) -> None:
-        """Send a request for a lease; the answer comes by `take_lease`."""
+    def request_lease(self, lender: str, database: str, wanted: int) -> None:
+        """Ask another home for a lease; the answer arrives by `on_lease_answer`."""
 
 
-class SlotUser(Protocol):
-    """The home whose connections are lent or borrowed."""
+class LendingHome(Protocol):
+    """The home on whose behalf connections are lent and borrowed."""
 
     database: DatabaseSettings
 
     def apply_share(self) -> None:
-        """Hold as many connections as the leases say now."""
+        """Set the limit of open connections to the share that the leases allow now."""
 
     def queued_requests(self) -> int:
-        """Requests that wait for a connection."""
+        """Return the number of requests that wait for a connection."""
 
     def spare_slots(self) -> int:
-        """Connections to each instance that nobody uses."""
+        """Return the number of unused slots for each instance."""
 
 
 class SlotLending:
-    """The leases of one home, with their timer."""
+    """Drives the leases of one home with a timer."""
 
-    def __init__(self, leases: SlotLeases, port: LeasePort, user: SlotUser) -> None:
+    def __init__(self, leases: SlotLeases, port: LeasePort, home: LendingHome) -> None:
         self._leases = leases
         self._port = port
-        self._user = user
+        self._home = home
         self._loop = asyncio.get_running_loop()
         self._timer: asyncio.TimerHandle | None = None
         self._closed = False
 
     def lend(self, borrower: str, wanted: int) -> LeaseAnswer:
-        """Another home asks for connections; they are given up here before the answer leaves."""
+        """Answer a lease request of another home.
+
+        The lent connections are released here before the answer is returned.
+        """
         now = self._loop.time()
-        answer = self._leases.on_ask(now, borrower, wanted, self._user.spare_slots())
+        answer = self._leases.on_ask(now, borrower, wanted, self._home.spare_slots())
         self._leases_changed()
         return answer
 
-    def take_lease(self, lender: str, answer: LeaseAnswer) -> None:
-        """Another home answered."""
+    def on_lease_answer(self, lender: str, answer: LeaseAnswer) -> None:
+        """Apply the answer of another home to a lease request."""
         self._leases.on_answer(self._loop.time(), lender, answer)
         self._leases_changed()
 
-    def requests_wait(self) -> None:
-        """Requests wait for connections: borrow some if they still do shortly."""
+    def on_requests_queued(self) -> None:
+        """Start the timer after which connections are borrowed if requests are still queued."""
         if self._timer is None:
-            self._set_timer(self._loop.time() + _SHORT_OF_SLOTS_SECONDS)
+            self._set_timer(self._loop.time() + _BORROW_AFTER_SECONDS)
 
     def close(self) -> None:
         """Stop the timer."""
@@ -78,11 +82,11 @@
             self._timer.cancel()
 
     def _leases_changed(self) -> None:
-        self._user.apply_share()
+        self._home.apply_share()
         self._set_timer(self._leases.deadline())
 
     def _set_timer(self, due: float) -> None:
-        """Set an earlier timer; a later one waits for the one that is set."""
+        """Set the timer unless it already expires earlier; `_on_timer` computes the next time."""
         if self._closed or due == float("inf"):
             return
         if self._timer is not None:
@@ -94,9 +98,9 @@
     def _on_timer(self) -> None:
         self._timer = None
         now = self._loop.time()
-        if self._user.queued_requests() > 0 and self._leases.base_share > 0:
-            database = self._user.database
-            for ask in self._leases.asks(now, self._port.other_homes(database), _WANTED_SLOTS):
-                self._port.ask(ask.lender, database.name, ask.wanted)
-            self._set_timer(now + _SHORT_OF_SLOTS_SECONDS)
+        if self._home.queued_requests() > 0 and self._leases.base_share > 0:
+            database = self._home.database
+            for request in self._leases.asks(now, self._port.other_homes(database), _WANTED_SLOTS):
+                self._port.request_lease(request.lender, database.name, request.wanted)
+            self._set_timer(now + _BORROW_AFTER_SECONDS)
         self._leases_changed()
--- a/src/orchidwind/elected/network/status_queries.py
+++ b/src/orchidwind/elected/network/status_queries.py
@@ -1,6 +1,7 @@
-"""The status connections of a home: one to each instance, opened when it is first asked.
+"""The status connections of a home: one to each instance, opened at its first status query.
 
-Owns these connections; `core/instance_reports.py` decides when to ask, and when an answer is late.
+Owns these connections; `core/instance_reports.py` decides when to query an instance and when an
+answer is overdue.
 """
 
 from __future__ import annotations
@@ -18,17 +19,17 @@
 
 
 class StatusEvents(Protocol):
-    """Who is interested in answers."""
+    """Callbacks for the results of status queries."""
 
     def report(self, report: InstanceReport) -> None:
-        """An instance answered."""
+        """An instance answered a status query."""
 
     def poll_failed(self, instance: str) -> None:
-        """An instance could not be asked, or its connection broke."""
+        """A status query could not be sent, or its connection broke."""
 
 
 class StatusQueries:
-    """Asks instances for their status."""
+    """Queries instances for their status."""
 
     def __init__(self, targets: InstanceTargets, tasks: TaskSet, events: StatusEvents) -> None:
         self._targets = targets
@@ -38,7 +39,7 @@
         self._observers: dict[str, Observer] = {}
 
     def ask(self, effect: PollInstance) -> None:
-        """Send a status query; the answer comes as an event."""
+        """Start a status query; the result is reported to `StatusEvents`."""
         self._tasks.start(self._ask(effect))
 
     def reset(self, instance: str) -> None:
@@ -56,9 +57,9 @@
         instance = effect.instance
         try:
             observer = await self._observer(instance)
-            status = await observer.ask()
+            status = await observer.read_status()
         except TimeoutError:
-            # The group has counted the query as overdue long ago, and asked again.
+            # By now the group has counted the query as overdue and sent another one.
             log_event("observer_not_opened", instance=instance, seconds=DATABASE_CONNECT_SECONDS)
             return
         except (BackendConnectionLost, BackendRefused, OSError):
