--- a/src/orchidwind/elected/core/__init__.py
+++ b/src/orchidwind/elected/core/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions of elected groups; no input or output, no clock."""
+"""The decision logic for elected groups: no I/O, and the time is passed in."""
--- a/src/orchidwind/elected/core/caller_session.py
+++ b/src/orchidwind/elected/core/caller_session.py
@@ -1,7 +1,8 @@
-"""What a caller's proxy remembers of one session: its floor, its settings, its transaction.
+"""The state of one session at its front proxy: its floor, settings and transaction status.
 
-For: the front, which asks for a plan of each text. Owns: that state, which ends with the connection
-unless the caller carries a token. Relies on: `classification.py` for what a text may do.
+For: the front proxy, which asks for a plan for each statement text. Owns: this state, which is lost
+with the connection unless the caller carries over a token. Relies on: `classification.py` for what
+a statement may do.
 """
 
 from __future__ import annotations
@@ -36,7 +37,7 @@
 _SETTING_NAME = re.compile(r"[a-z_][a-z0-9_.]*")
 _SETTING_VALUE = re.compile(r"'(?:[^']|'')*'|[\w.+\-]+(?:\s*,\s*[\w.+\-]+)*|\"[^\"]*\"")
 _REFUSED_SETTINGS = frozenset(("role", "session_authorization", "session characteristics"))
-# Settings of a session, all of which travel with each of its requests.
+# Bounds the size of requests, since each one carries all settings of its session.
 _MAXIMUM_SETTINGS = 50
 
 _REQUEST_KINDS = {
@@ -54,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LocalAnswer:
-    """The proxy answers by itself: a tag, and for SHOW a column with a value."""
+    """The front proxy answers itself: with a command tag, and for SHOW a column with a value."""
 
     tag: str
     column: str = ""
@@ -63,12 +64,12 @@
 
 @dataclass(frozen=True, slots=True)
 class AskToken:
-    """The caller wants the session's token: the home must be asked."""
+    """The caller requests the session's token, which must be obtained from the home proxy."""
 
 
 @dataclass(frozen=True, slots=True)
 class Forward:
-    """The statement goes to the home of the database; `sql` replaces its text where given."""
+    """The statement goes to the database's home proxy; `sql` replaces its text if not empty."""
 
     kind: RequestKind
     traffic_tag: str = ""
@@ -80,7 +81,7 @@
 
 
 class CallerSession:
-    """The state of one connection of a caller, without I/O."""
+    """The state of one caller connection, without I/O."""
 
     def __init__(self, options: dict[str, str]) -> None:
         self.identity = ""
@@ -96,11 +97,11 @@
 
     @property
     def in_transaction(self) -> bool:
-        """Whether a transaction block is open, failed or not."""
+        """Whether a transaction block is open, including a failed one."""
         return self.transaction_status != TRANSACTION_IDLE
 
     def plan(self, sql: str) -> Plan:
-        """What to do with a statement; raises RequestError where it is refused here."""
+        """Decide how to handle a statement; raises RequestError if the front proxy refuses it."""
         text, comment = split_comment(sql)
         classification = classify(text)
         kind = classification.kind
@@ -114,7 +115,7 @@
         return self._forward(kind, comment)
 
     def describe_plan(self, sql: str) -> Plan:
-        """How to describe a statement; unlike `plan` this changes nothing."""
+        """Decide how to describe a statement; unlike `plan`, changes no state."""
         classification = classify(split_comment(sql)[0])
         kind = classification.kind
         if kind is StatementKind.NOT_SUPPORTED:
@@ -130,7 +131,7 @@
         return Forward(RequestKind.DESCRIBE)
 
     def _plan_after_failure(self, kind: StatementKind, sql: str) -> Plan:
-        """A failed block only takes its end; a COMMIT then rolls back, as PostgreSQL has it."""
+        """Accept only the end of a failed block; COMMIT then rolls back, as in PostgreSQL."""
         if kind is StatementKind.SAVEPOINT and self._failed_here and _rolls_back(sql):
             return Forward(RequestKind.CONTROL)
         if kind not in (StatementKind.COMMIT, StatementKind.ROLLBACK):
@@ -239,7 +240,7 @@
         return None
 
     def finished(self, outcome: Outcome) -> None:
-        """Take what an outcome says of the transaction and the floor."""
+        """Update the transaction status and the floor from the outcome of a request."""
         error = outcome.error
         if error is not None and error.kind is ErrorKind.TRANSACTION_LOST and self.in_transaction:
             self.lose_transaction()
@@ -260,12 +261,12 @@
             self.floor = replace(self.floor, last_read_instance=outcome.instance)
 
     def lose_transaction(self) -> None:
-        """The home or its connection is gone; refuse statements until the block is ended."""
+        """Mark the transaction as lost; statements are refused until the block is ended."""
         self._lost = True
         self.transaction_status = TRANSACTION_FAILED
 
     def mark_failed(self) -> None:
-        """An error was answered inside a transaction without reaching the home."""
+        """Mark the open transaction as failed after an error that did not reach the home proxy."""
         if self.in_transaction and self.transaction_status != TRANSACTION_FAILED:
             self._failed_here = True
             self.transaction_status = TRANSACTION_FAILED
--- a/src/orchidwind/elected/core/classification.py
+++ b/src/orchidwind/elected/core/classification.py
@@ -1,7 +1,7 @@
-"""Decides from a statement's text what it may do: read, write, control a transaction or a session.
+"""Classifies a statement by its text: read, write, transaction control or session control.
 
-The decision works on tokens, and errs to the side of the primary: a statement counts as a read
-only if every keyword and every function in it is known not to write.
+Works on tokens and errs on the side of the primary: a statement counts as a read only if every
+keyword and function in it is known not to write.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 from orchidwind.elected.core.sql_text import tokenize_statements
 
-# Texts whose classification is remembered; bounds memory where values stand in the texts.
+# Number of cached classifications; bounds memory if literal values make the texts distinct.
 CACHED_STATEMENTS = 4096
 
 
@@ -41,9 +41,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Classification:
-    """The kind of a statement; `name` and `value` belong to SET, RESET and SHOW.
+    """The kind of a statement; `name` and `value` are set for SET, RESET and SHOW.
 
-    `reason` tells why a statement is not supported.
+    `reason` says why a statement is not supported.
     """
 
     kind: StatementKind
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CommentTags:
-    """What a caller said in a trailing comment of the sqlcommenter form."""
+    """The tags in a trailing comment of sqlcommenter format."""
 
     request_id: str = ""
     traffic_class: str = ""
@@ -116,7 +116,7 @@
 
 
 def split_comment(sql: str) -> tuple[str, str]:
-    """Part a statement from its trailing comment, so that tagged texts share a cache entry."""
+    """Split off the trailing comment, so that texts with different tags share a cache entry."""
     if "*/" not in sql[-8:]:
         return sql, ""
     match = _TRAILING_COMMENT.search(sql)
@@ -126,7 +126,7 @@
 
 
 def comment_tags(comment: str) -> CommentTags:
-    """Read the tags of a trailing comment; values are percent-encoded."""
+    """Parse the tags of a trailing comment; their values are percent-decoded."""
     if not comment:
         return CommentTags()
     tags = {name: unquote(value) for name, value in _TAG.findall(comment)}
@@ -143,7 +143,7 @@
     try:
         statements = tokenize_statements(sql)
     except ValueError:
-        return _WRITE  # the primary takes any statement, and answers with the error of this one
+        return _WRITE  # the primary accepts any statement and answers with the error
     if not statements:
         return _EMPTY
     if len(statements) == 1:
--- a/src/orchidwind/elected/core/commit_barrier.py
+++ b/src/orchidwind/elected/core/commit_barrier.py
@@ -1,10 +1,10 @@
-"""Holds the acknowledgement of a commit until a majority is seen to keep it.
+"""Delays the acknowledgement of a commit until a majority of the group is known to hold it.
 
-A commit on instance P in term t that ends at position p is confirmed when, by reports asked for
-after the commit, P is still the primary of term t, a majority including P holds p of term t's
-history, and nobody knows a higher term. The group elects the most advanced log of a majority, so
-every later primary contains the commit. The outcome of a commit that is not confirmed is unknown;
-it is never said to have failed.
+A commit on instance P in term t that ends at log position p is confirmed when status reports
+requested after the commit show that P is still the primary of term t, that a majority including P
+holds p of term t's history, and that no instance knows a higher term. The group elects the instance
+with the most advanced log of a majority, so every later primary contains the commit. The outcome of
+an unconfirmed commit is unknown; it is never reported as failed.
 """
 
 from __future__ import annotations
@@ -15,9 +15,9 @@
 from orchidwind.elected.core.group_view import GroupView, InstanceReport
 from orchidwind.shared.core.positions import Position
 
-# How long a commit waits for its confirmation though its request's deadline passes; then
-# its outcome is unknown. It spans several status rounds (`polling.py`), so that one slow instance
-# does not turn a commit that lasts into one that is in doubt.
+# How long a commit may wait for confirmation, even past its request's deadline, before its outcome
+# is reported as unknown. Spans several status rounds (`polling.py`), so that one slow instance
+# does not put a durable commit in doubt.
 CONFIRM_SECONDS = 2.0
 
 
@@ -25,8 +25,9 @@
 class Acknowledge(Enum):
     """When a commit is acknowledged.
 
-    REPLICATED waits until a majority holds the commit. CONFIRMED waits only until a majority knows
-    no higher term: one round trip less, but a later change of primary may lose the write.
+    REPLICATED waits until a majority holds the commit. CONFIRMED waits only until a majority
+    reports no higher term: this saves one round trip, but a later change of primary may lose the
+    write.
     """
 
     REPLICATED = "replicated"
@@ -35,7 +36,7 @@
 
 @dataclass(slots=True)
 class PendingCommit:
-    """A commit that waits. `committed_at` is when the back end's answer came."""
+    """A commit waiting for confirmation; `committed_at` is when the instance answered it."""
 
     ticket: int
     instance: str
@@ -54,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Superseded:
-    """A higher term was seen: whether the commit survives is unknown."""
+    """The primary was replaced or demoted: whether the commit survives is unknown."""
 
     ticket: int
 
@@ -63,7 +64,7 @@
 
 
 class CommitBarrier:
-    """All commits of one group that wait for confirmation."""
+    """The commits of one group that wait for confirmation."""
 
     def __init__(self, view: GroupView, acknowledge: Acknowledge) -> None:
         self.pending: dict[int, PendingCommit] = {}
@@ -72,22 +73,22 @@
 
     @property
     def oldest(self) -> float | None:
-        """When the commit that waits for longest was answered, None where none waits."""
+        """`committed_at` of the longest-waiting commit, None if no commit waits."""
         return min((commit.committed_at for commit in self.pending.values()), default=None)
 
     def add(self, commit: PendingCommit) -> list[BarrierDecision]:
-        """Wait for a commit; a term that is already superseded is decided at once."""
+        """Add a commit; returns `Superseded` at once if a higher term is already known."""
         if self._view.highest_term > commit.term:
             return [Superseded(commit.ticket)]
         self.pending[commit.ticket] = commit
         return []
 
     def drop(self, ticket: int) -> None:
-        """Nobody waits for this commit any longer."""
+        """Stop waiting for a commit, if it is pending."""
         self.pending.pop(ticket, None)
 
     def on_report(self, report: InstanceReport) -> list[BarrierDecision]:
-        """Decide what the group's view, which already holds the report, allows."""
+        """Return the decisions that follow from a report, which the group's view already holds."""
         decisions: list[BarrierDecision] = []
         for commit in list(self.pending.values()):
             decision = self._decide(commit)
--- a/src/orchidwind/elected/core/configuration.py
+++ b/src/orchidwind/elected/core/configuration.py
@@ -1,7 +1,7 @@
-"""The operators' file: databases, zones, traffic classes and users, checked as a whole.
+"""The operator's configuration file: databases, zones, traffic classes and users.
 
-For: `orchidwind check` and `apply`, and every proxy that takes a version. Owns: the keys of the
-file and of the stored object. Errors: SettingsError with the path of the key.
+For: `orchidwind check` and `apply`, and every proxy that adopts a version. Owns: the keys of the
+file and of the stored object, and their validation. Errors: SettingsError with the path of the key.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class ZoneSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A place where callers sit; zones of one region are near each other."""
+    """A location of callers and proxies; zones of one region are near each other."""
 
     name: str
     region: str = "default"
@@ -38,7 +38,7 @@
     tags: list[str] = []
 
     def traffic_class(self) -> TrafficClass:
-        """The form that admission uses, with the deadline in seconds."""
+        """The class as admission control uses it, with the deadline in seconds."""
         deadline = self.deadline_ms / _MILLISECONDS
         return TrafficClass(self.name, self.weight, deadline, self.queue_bound)
 
@@ -63,9 +63,9 @@
 class DatabaseSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """One database and its group.
 
-    `slots` is the number of server connections to each instance that all proxies hold together;
-    `zone_slots` divides them among zones, where an equal division does not fit.
-    `server_user` runs the callers' statements, `status_user` asks for status.
+    `slots` is the total number of server connections of all proxies to each instance; `zone_slots`
+    divides them among zones if an equal division does not fit. `server_user` runs the callers'
+    statements, `status_user` the status queries.
     """
 
     name: str
@@ -81,7 +81,7 @@
 
 
 class OperatorFile(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The whole configuration; it is accepted as a whole or not at all."""
+    """The complete configuration, which is accepted as a whole or not at all."""
 
     zones: list[ZoneSettings]
     databases: list[DatabaseSettings]
@@ -90,21 +90,21 @@
 
 
 class ConfigurationDocument(msgspec.Struct, frozen=True):
-    """An accepted configuration with its version, which only ever rises."""
+    """An accepted configuration with its version, which only increases."""
 
     version: int
     content: OperatorFile
 
 
 def parse_operator_file(text: bytes, source: str) -> OperatorFile:
-    """Read and check a file (TOML); raises SettingsError with file, key and reason."""
+    """Parse and validate a TOML file; raises SettingsError with source, key and reason."""
     content = decode_checked(source, lambda: msgspec.toml.decode(text, type=OperatorFile))
     check_operator_file(content, source)
     return content
 
 
 def check_operator_file(content: OperatorFile, source: str) -> None:
-    """Check what the types cannot say; raises SettingsError for the first fault."""
+    """Check the rules that types cannot express; raises SettingsError for the first violation."""
     if not content.zones:
         raise SettingsError(source, "zones", "at least one zone is needed")
     _no_duplicates(source, "zones", (zone.name for zone in content.zones))
@@ -174,7 +174,7 @@
             self._by_user.update(dict.fromkeys(item.users, traffic_class))
 
     def match(self, user: str, application_name: str, tag: str) -> TrafficClass:
-        """The class of a request."""
+        """The traffic class of a request, the default class if nothing matches."""
         return (
             self._by_tag.get(tag)
             or self._by_application.get(application_name)
--- a/src/orchidwind/elected/core/configuration_history.py
+++ b/src/orchidwind/elected/core/configuration_history.py
@@ -1,8 +1,8 @@
-"""Keeps the newest accepted configuration and decides what may replace it.
+"""Keeps the configuration in force at a node and decides which configuration may replace it.
 
-A node never moves to a lower version. A node without a configuration takes none from a single
-peer, since that peer may be behind: it waits for a read of the platform, or until a majority of
-the peers in view has sent its version, and then takes the highest.
+A node never adopts a lower version. A node without a configuration does not adopt one from a single
+peer, which may have an old version: it waits for a read from the platform, or until a majority of
+the peers in its view has reported a version, and then adopts the highest.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FetchFrom:
-    """Ask a peer for the configuration that it holds."""
+    """Request the configuration that a peer holds."""
 
     peer: str
 
@@ -29,29 +29,29 @@
 HistoryEffect = Adopt | FetchFrom
 
 
-# A configuration of 1 MB takes 1.6 s on a link of 5 Mbit/s; a peer that is silent for longer is
-# left.
+# A configuration of 1 MB takes 1.6 s on a link of 5 Mbit/s. After this time without an answer
+# another fetch may begin.
 FETCH_SECONDS = 2.0
 
 
 class FetchTurn:
-    """One configuration is fetched at a time: several peers at once would share the same link.
+    """Allows one configuration fetch at a time: concurrent fetches would share the same link.
 
-    Times are in seconds of the steady clock.
+    Times are in seconds of the monotonic clock.
     """
 
     def __init__(self) -> None:
         self._until = float("-inf")
 
     def begin(self, now: float) -> bool:
-        """Whether a fetch may begin now; then it is under way."""
+        """Begin a fetch; returns False if another one is in progress."""
         if now < self._until:
             return False
         self._until = now + FETCH_SECONDS
         return True
 
     def ended(self) -> None:
-        """What was fetched has come, or will not."""
+        """End the fetch, whether it succeeded or failed."""
         self._until = float("-inf")
 
 
@@ -65,15 +65,15 @@
 
     @property
     def version(self) -> int:
-        """The version in force, 0 before the first."""
+        """The version in force, 0 if there is none yet."""
         return self.current.version if self.current else 0
 
     def on_platform(self, document: ConfigurationDocument) -> list[HistoryEffect]:
-        """A read or a watch of the platform brought a document."""
+        """A document was received from the platform; adopted if it is newer."""
         return self._adopt(document)
 
     def on_peer_version(self, peer: str, version: int, peers_in_view: int) -> list[HistoryEffect]:
-        """A peer says which version it has in force."""
+        """A peer reported the version that it has in force."""
         self._peer_versions[peer] = max(version, self._peer_versions.get(peer, 0))
         if self.current is None:
             adopted = self._adopt_candidate(peers_in_view)
@@ -85,7 +85,7 @@
     def on_peer_document(
         self, peer: str, document: ConfigurationDocument, peers_in_view: int
     ) -> list[HistoryEffect]:
-        """A peer sent its configuration."""
+        """A peer sent its configuration document."""
         self._peer_versions[peer] = max(document.version, self._peer_versions.get(peer, 0))
         if self.current is not None:
             return self._adopt(document)
@@ -94,7 +94,7 @@
         return self._adopt_candidate(peers_in_view)
 
     def forget_peer(self, peer: str) -> None:
-        """The peer has left the view."""
+        """Forget the version of a peer that has left the view."""
         self._peer_versions.pop(peer, None)
 
     def _adopt_candidate(self, peers_in_view: int) -> list[HistoryEffect]:
--- a/src/orchidwind/elected/core/flow_driver.py
+++ b/src/orchidwind/elected/core/flow_driver.py
@@ -1,7 +1,7 @@
-"""Resumes the flows of requests, step by step, until each waits or ends.
+"""Resumes the flows of requests, step by step, until each flow waits or ends.
 
-Owns the order in which a flow gets results and errors. Relies on a `StepHandler` that carries steps
-out, and on `running_requests.py` for what runs.
+Owns the order in which a flow receives results and errors. Relies on a `StepHandler` to carry out
+the steps, and on `running_requests.py` for the state of running requests.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StepDone:
-    """A step is done at once, with this result."""
+    """A step was completed immediately, with this result."""
 
     result: StepResult = None
 
@@ -36,14 +36,14 @@
     """Carries out the steps of flows."""
 
     def perform(self, now: float, running: RunningRequest, step: Step) -> StepDone | None:
-        """Carry a step out, or begin it and return None; raises RequestError."""
+        """Carry out a step, or start it and return None; raises RequestError."""
 
     def forget_wait(self, running: RunningRequest) -> None:
-        """A request waits no longer for what `running.waits_for` says."""
+        """Cancel the wait for the step `running.waits_for`."""
 
 
 class FlowDriver:
-    """Drives the flows of all running requests; also hands connections to those that wait."""
+    """Drives the flows of all running requests, and passes granted connections to them."""
 
     def __init__(
         self,
@@ -58,16 +58,16 @@
         self._effects = effects
 
     def advance(self, now: float, running: RunningRequest, result: StepResult) -> None:
-        """What a request waited for is there."""
+        """Resume a request with the result of the step that it waited for."""
         self._drive(now, running, lambda: running.flow.send(result))
 
     def throw(self, now: float, running: RunningRequest, error: OrchidwindError) -> None:
-        """What a request waited for has failed."""
+        """Resume a request by throwing an error at the step that it waited for."""
         self._handler.forget_wait(running)
         self._drive(now, running, lambda: running.flow.throw(error))
 
     def granted(self, now: float, number: int, connection: int) -> bool:
-        """Pass a connection to a request; False where the request has ended."""
+        """Pass a connection to a request; returns False if the request has ended."""
         running = self._requests.get(number)
         if running is None:
             return False
@@ -75,7 +75,7 @@
         return True
 
     def refused(self, now: float, refusal: Refusal) -> None:
-        """The request named by the refusal's ticket gets no connection."""
+        """Fail the request with the refusal's ticket, which gets no connection."""
         running = self._requests.get(refusal.ticket)
         if running is not None:
             self.throw(now, running, no_connection(refusal))
--- a/src/orchidwind/elected/core/flow_parts.py
+++ b/src/orchidwind/elected/core/flow_parts.py
@@ -1,6 +1,6 @@
-"""Parts of flows that several kinds of request use: connections, statements, retries.
+"""Parts of flows shared by several kinds of request: connections, statements, retries.
 
-Relies on `retries.py` for what may be tried again.
+Relies on `retries.py` for what may be retried.
 """
 
 from __future__ import annotations
@@ -22,14 +22,14 @@
 )
 from orchidwind.shared.core.errors import BackendConnectionLost, ErrorKind, RequestError
 
-# SQLSTATE read_only_sql_transaction: a write reached a replica, which refused it.
+# SQLSTATE read_only_sql_transaction: a replica refused a write.
 READ_ONLY_TRANSACTION = "25006"
 
 
 def run(
     connection: int, statement: Statement, **options: bool
 ) -> Generator[Step, StepResult, RunResult]:
-    """Run a statement; a connection whose state is uncertain afterwards is closed."""
+    """Run a statement; raises StatementLost, after which the connection is lost or closed."""
     try:
         result = yield Run(connection, statement, **options)
     except BackendConnectionLost as lost:
@@ -44,7 +44,7 @@
 def connect(
     request: StatementRequest, instance: str, primary_term: int = 0
 ) -> Generator[Step, StepResult, int]:
-    """Get a connection that carries the session's settings."""
+    """Get a connection and apply the session's settings; raises StatementLost or RequestError."""
     try:
         connection = yield WaitForConnection(instance, primary_term)
     except BackendConnectionLost as lost:
@@ -62,7 +62,7 @@
 def connect_primary(
     request: StatementRequest,
 ) -> Generator[Step, StepResult, tuple[PrimaryReference, int]]:
-    """A connection to the primary; nothing was sent yet, so a lost one is simply replaced."""
+    """Get a connection to the primary; a lost one is replaced, since nothing was sent yet."""
     while True:
         primary = yield WaitForPrimary()
         assert isinstance(primary, PrimaryReference)
@@ -76,13 +76,13 @@
 
 
 def refused_by_replica(result: RunResult) -> bool:
-    """The instance is no longer the primary; it refused the statement, so nothing ran."""
+    """Whether the instance refused a write because it is not the primary: then nothing ran."""
     refused = result.error is not None and result.error.sqlstate == READ_ONLY_TRANSACTION
     return refused and not result.delivered
 
 
 def may_retry(retry: Retry) -> Generator[Step, StepResult, bool]:
-    """Whether a retry is allowed, also by the home's budget, which it then uses."""
+    """Whether a retry is allowed; takes a token from the retry budget if the rule requires it."""
     if retry is Retry.WITHIN_BUDGET:
         return bool((yield TakeRetry()))
     return retry is Retry.ALWAYS
--- a/src/orchidwind/elected/core/flows.py
+++ b/src/orchidwind/elected/core/flows.py
@@ -1,12 +1,12 @@
-"""The order of steps of each kind of request at a home proxy, as generators without I/O.
+"""The flow of each kind of request at a home proxy: a generator that yields steps, without I/O.
 
 A flow yields a step and is sent the step's result, or has an error thrown in. It returns the
-outcome, or raises RequestError. `HomeGroup` drives the flows; what a flow has in its hands when an
-error reaches it decides what the caller gets as an answer:
+outcome, or raises RequestError. `HomeGroup` drives the flows. How far a flow has come when an error
+reaches it decides what the caller is told:
 
-- before the first byte left for a back end, the request did not run;
-- after a write left, its outcome is unknown until a majority is seen to hold it;
-- a read changed nothing, so it may be repeated until a part of its answer went out.
+- before the first byte is sent to an instance, the request did not run;
+- once a write is sent, its outcome is unknown until a majority is known to hold it;
+- a read changes nothing, so it may be repeated until a part of its answer is delivered.
 """
 
 from __future__ import annotations
@@ -58,7 +58,7 @@
 
 
 def _route(request: StatementRequest) -> Generator[Step, StepResult, Route]:
-    """Find where a read may run: first the floor, then an instance that covers it."""
+    """Choose an instance for a read: determine the floor, then find an instance that covers it."""
     floor = request.floor.position
     asked = False
     if request.floor.mode is FloorMode.QUORUM:
@@ -86,7 +86,7 @@
 
 
 def read_flow(request: StatementRequest) -> Flow:
-    """A read outside a transaction."""
+    """Run a read, or describe a statement, outside a transaction."""
     describe = request.kind is RequestKind.DESCRIBE
     attempts = 0
     while True:
@@ -114,13 +114,13 @@
 
 
 def token_flow(request: StatementRequest) -> Flow:
-    """A position that covers all that the session wrote and read."""
+    """Return a position that covers everything that the session wrote and read."""
     floor = yield from _fresh_floor(request.floor.position, request.floor.last_read_instance)
     return Outcome(request.number, tag="SHOW", position=floor)
 
 
 def write_flow(request: StatementRequest) -> Flow:
-    """A write outside a transaction, sent at most once to an instance that takes it."""
+    """Run a write outside a transaction, at most once."""
     if request.request_id:
         return (yield from named_write_flow(request))
     while True:
@@ -162,7 +162,7 @@
 
 
 def begin_flow(request: StatementRequest) -> Flow:
-    """BEGIN: a connection is bound to the session until the transaction ends."""
+    """Run BEGIN, and bind a connection to the session until the transaction ends."""
     read_only = request.kind is RequestKind.BEGIN_READ_ONLY
     is_replica = False
     try:
@@ -205,7 +205,7 @@
 
 
 def transaction_flow(request: StatementRequest, transaction: OpenTransaction, ends: bool) -> Flow:
-    """A statement inside a transaction; `ends` marks one that may commit."""
+    """Run a statement inside a transaction; `ends` means that it may commit."""
     describe = request.kind is RequestKind.DESCRIBE
     if request.kind is RequestKind.WRITE and not transaction.read_only:
         transaction.wrote = True
--- a/src/orchidwind/elected/core/gossip.py
+++ b/src/orchidwind/elected/core/gossip.py
@@ -1,10 +1,10 @@
-"""How news of members, and the version of the configuration, reach the other members.
+"""Spreads membership news and the configuration version to the other members.
 
-News travels on the probes and their answers, each a bounded number of times, so that a node's cost
-does not grow with the number of members; urgent news is sent to some members at once; and now and
-then two members exchange their whole lists. Each message carries the version of the configuration
-in force at its sender. Owns what is still to be spread and that version; relies on the table of
-members.
+News is piggybacked on probes and their answers, each item a bounded number of times, so that a
+node's cost does not grow with the number of members. Urgent news is also sent to some members at
+once, and from time to time two members exchange their full member lists. Each message carries the
+version of the configuration in force at its sender. Owns that version and the news still to be
+sent; relies on the member table.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 
 class Gossip:
-    """Sends what one node knows; datagrams are appended to the membership's effects."""
+    """Sends one node's news; datagrams are appended to the effects of `Membership`."""
 
     def __init__(
         self,
@@ -41,7 +41,7 @@
         settings: MembershipSettings,
         effects: list[MembershipEffect],
     ) -> None:
-        """`seeds` are addresses (host, gossip port) to ask first."""
+        """`seeds` are the addresses (host, gossip port) contacted at the start."""
         self.configuration_version = 0
         self.seeds = list(seeds)
         self.next_exchange = 0.0
@@ -52,9 +52,10 @@
         self._spreading: dict[str, _Spreading] = {}
 
     def spread(self, news: News | None) -> None:
-        """Let news travel on the next messages; what is urgent is announced as well.
+        """Queue news for the next messages; urgent news is also announced at once.
 
-        The node's own entry is the sender of each message, and needs no update of its own there.
+        The announcement carries no update for the node's own entry: each message contains it as
+        the sender.
         """
         if news is None:
             return
@@ -64,7 +65,7 @@
             self.announce(() if news.member is self._table.own else (news.member,))
 
     def updates(self) -> tuple[Member, ...]:
-        """What the next message carries: the news that has travelled least."""
+        """The updates for the next message: the news that has been sent the fewest times."""
         chosen = sorted(self._spreading.values(), key=lambda item: -item.times_left)
         chosen = chosen[: self._settings.updates_a_message]
         for item in chosen:
@@ -74,10 +75,10 @@
         return tuple(item.member for item in chosen)
 
     def announce(self, updates: tuple[Member, ...] = ()) -> None:
-        """Send to some members at once; whoever first learns urgent news does the same.
+        """Send to some random members at once; a member that learns urgent news does the same.
 
-        Left to the probes alone, such news took several periods to reach all, while callers waited
-        for homes that were gone.
+        On probes alone such news took several periods to reach all members, while callers waited
+        for home proxies that were gone.
         """
         others = self._table.others()
         count = min(self._settings.announce_fanout, len(others))
@@ -85,17 +86,17 @@
             self.inform(member, updates)
 
     def inform(self, member: Member, updates: tuple[Member, ...]) -> None:
-        """Send these updates to one member, and ask for nothing."""
+        """Send updates to one member without asking for an answer."""
         self.send(member, Exchange(self._table.own, False, self.configuration_version, updates))
 
     def start(self, now: float) -> None:
-        """Ask the seeds for their lists."""
+        """Ask the seeds for their member lists."""
         self.next_exchange = now + self._random.uniform(1, 2)
         for host, port in self.seeds:
             self.exchange_with(host, port, wants_answer=True)
 
     def exchange_at_random(self, now: float) -> None:
-        """Exchange lists with one member and one seed; with all seeds while nobody is known."""
+        """Exchange lists with a random member and seed, or with all seeds if no member is known."""
         jitter = self._random.uniform(0.5, 1.5)
         self.next_exchange = now + self._settings.exchange_interval * jitter
         others = self._table.others()
@@ -110,7 +111,10 @@
             self.exchange_with(host, port, wants_answer=True)
 
     def exchange_with(self, host: str, port: int, wants_answer: bool) -> None:
-        """Send the whole list, in parts, to an address; one of them asks for the other's list."""
+        """Send the full member list to an address, in parts.
+
+        With `wants_answer` the first part asks for the recipient's list.
+        """
         known = list(self._table.members.values())
         part = self._settings.exchange_part
         for start in range(0, len(known), part):
--- a/src/orchidwind/elected/core/group_effects.py
+++ b/src/orchidwind/elected/core/group_effects.py
@@ -1,7 +1,7 @@
-"""The options of a home's group, and the effects that its driver carries out.
+"""The options of a group at its home proxy, and the effects that its driver carries out.
 
-For: `home_group.py`, which returns them, and `network/group_runner.py`, which carries them out.
-Owns: the types alone.
+For: `home_group.py`, which returns the effects, and `network/group_runner.py`, which carries them
+out. Owns: only the types.
 """
 
 from __future__ import annotations
@@ -14,13 +14,13 @@
 from orchidwind.elected.core.statements import Outcome, Statement, StatementRequest
 from orchidwind.shared.core.pool import CloseConnection, OpenConnection
 
-# A transaction without a statement for this time is rolled back, as it holds a connection.
+# A transaction idle for this long is rolled back, since it holds a server connection.
 TRANSACTION_IDLE_SECONDS = 60.0
 
 
 @dataclass(frozen=True, slots=True)
 class GroupOptions:
-    """How a home serves a group."""
+    """How a home proxy serves a group."""
 
     acknowledge: Acknowledge = Acknowledge.REPLICATED
     routing: RoutingSettings = field(default_factory=RoutingSettings)
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PollInstance:
-    """Send a status query; answer with `report` or `poll_failed`."""
+    """Send a status query; the driver answers with `report` or `poll_failed`."""
 
     instance: str
     asked_at: float
@@ -38,14 +38,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ResetObserver:
-    """The status connection to an instance hangs: close it."""
+    """Close the status connection to an instance that did not answer in time."""
 
     instance: str
 
 
 @dataclass(frozen=True, slots=True)
 class RunOnConnection:
-    """Run a statement; `deliver_to` names the request whose caller gets the rows, if any."""
+    """Run a statement; `deliver_to` is the request whose caller gets the rows, None for none."""
 
     connection: int
     statement: Statement
@@ -55,23 +55,24 @@
 
 @dataclass(frozen=True, slots=True)
 class AbandonConnection:
-    """Break a connection whose instance does not answer; `connection_lost` follows."""
+    """Drop a connection to an unresponsive instance; `connection_lost` follows."""
 
     connection: int
 
 
 @dataclass(frozen=True, slots=True)
 class CancelConnection:
-    """Ask the database to cancel what runs on a connection."""
+    """Ask the database to cancel the statement that runs on a connection."""
 
     connection: int
 
 
 @dataclass(frozen=True, slots=True)
 class StillRunning:
-    """A statement runs past its deadline on an instance that answers: the caller may wait on.
+    """A statement runs past its deadline on a responsive instance: the caller may keep waiting.
 
-    The driver may ask the database whether it runs; `connection_lost` where it does not.
+    The driver may check with the database that the statement still runs; if not, it reports
+    `connection_lost`.
     """
 
     number: int
@@ -80,7 +81,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Finished:
-    """A request has its outcome."""
+    """A request has ended with this outcome."""
 
     request: StatementRequest
     outcome: Outcome
--- a/src/orchidwind/elected/core/group_view.py
+++ b/src/orchidwind/elected/core/group_view.py
@@ -1,7 +1,7 @@
-"""What a home proxy knows of one database group: the reports of its instances.
+"""A home proxy's view of one database group, built from the status reports of its instances.
 
-Owns which instance counts as primary, and how far each replica is behind. Relies on reports that
-`instance_reports.py` asks for. Times are in seconds of the home's monotonic clock.
+Owns which instance counts as the primary and how far each replica lags. Relies on the reports that
+`instance_reports.py` requests. Times are in seconds of the home proxy's monotonic clock.
 """
 
 from __future__ import annotations
@@ -12,11 +12,11 @@
 
 from orchidwind.shared.core.positions import ORIGIN, Position
 
-# Three times the idle interval of status queries (`polling.py`): a replica whose report is
-# older, after two lost queries, gets no reads.
+# Three times the idle interval of status queries (`polling.py`): after two lost queries the report
+# of a replica is older than this, and the replica gets no reads.
 STALE_AFTER_SECONDS = 6.0
-# Positions of the log remembered, one for each report that showed a new one; a position
-# before them has no time, and a replica that far behind counts as having no delay.
+# Number of log positions kept, one per report that showed a new position. For an older position
+# the time of the oldest sample is used, so a replica's delay is underestimated that far behind.
 _LOG_SAMPLES = 512
 
 
@@ -24,9 +24,9 @@
 class InstanceReport:
     """One instance's answer to a status query.
 
-    `asked_at` is when the query left, `answered_at` when its answer came, in seconds of the
-    observer's monotonic clock. `term` is the highest term that the instance knows; `received` is
-    the end of the log it holds, with the term of its last record.
+    `asked_at` is when the query was sent and `answered_at` when its answer arrived, in seconds of
+    the home proxy's monotonic clock. `term` is the highest term that the instance knows; `received`
+    is the end of the log it holds, with the term of its last record.
     """
 
     instance: str
@@ -40,34 +40,34 @@
     def replayed_covers(self, floor: Position) -> bool:
         """Whether reads on this instance see everything up to `floor`.
 
-        The log of a later term continues the log of the earlier one from a point that no
-        acknowledged write lies behind; so a replica of the same or a later term covers the floor
-        once its replay has passed the floor's log sequence number.
+        The log of a later term continues that of the earlier term from a point after the last
+        acknowledged write. So a replica of the same or a later term covers the floor once its
+        replay has reached the floor's log sequence number.
         """
         return self.received.term >= floor.term and self.replayed_lsn >= floor.lsn
 
 
 @dataclass(frozen=True, slots=True)
 class PrimaryReference:
-    """The primary of a term."""
+    """The instance that is the primary of a term."""
 
     instance: str
     term: int
 
 
 class LogClock:
-    """Remembers when the log reached each position, to estimate how far replicas lag in time."""
+    """Records when the log reached each position, to estimate the replay delay of replicas."""
 
     def __init__(self) -> None:
         self._samples: deque[tuple[int, float]] = deque(maxlen=_LOG_SAMPLES)
 
     def note(self, lsn: int, at: float) -> None:
-        """The log was seen to reach `lsn` at a time."""
+        """Record that the log had reached `lsn` at a time."""
         if not self._samples or lsn > self._samples[-1][0]:
             self._samples.append((lsn, at))
 
     def reached_at(self, lsn: int) -> float | None:
-        """When the log reached `lsn`, None where that was before the first sample."""
+        """When the log reached `lsn`, None if no sample has reached it."""
         found = None
         for sample_lsn, at in reversed(self._samples):
             if sample_lsn < lsn:
@@ -77,12 +77,12 @@
 
     @property
     def end(self) -> int:
-        """The greatest position seen."""
+        """The highest log sequence number seen, 0 if there is none."""
         return self._samples[-1][0] if self._samples else 0
 
 
 class GroupView:
-    """The last report of each instance, and what follows from them."""
+    """The latest report of each instance, and what follows from these reports."""
 
     def __init__(self, instances: Sequence[str]) -> None:
         self.instances = tuple(instances)
@@ -94,7 +94,7 @@
         self.log_clock = LogClock()
 
     def take(self, report: InstanceReport) -> None:
-        """Store a report; an older one than the one held is ignored."""
+        """Store a report, unless a report requested later is already stored."""
         held = self.reports.get(report.instance)
         if held is not None and held.asked_at > report.asked_at:
             return
@@ -104,11 +104,11 @@
         self.log_clock.note(report.received.lsn, report.answered_at)
 
     def lose(self, instance: str) -> None:
-        """The instance did not answer, or its connection broke."""
+        """Mark an instance as unreachable until its next report."""
         self.unreachable.add(instance)
 
     def primary(self) -> PrimaryReference | None:
-        """The reachable primary of the highest term known."""
+        """The reachable primary of the highest known term, None if there is none."""
         for name, report in self.reports.items():
             usable = name not in self.unreachable and not report.in_recovery
             if usable and report.term == self.highest_term:
@@ -116,7 +116,7 @@
         return None
 
     def replicas(self, now: float) -> list[InstanceReport]:
-        """Replicas that follow the highest term and have reported lately."""
+        """Reports of reachable replicas that follow the highest term and are recent enough."""
         return [
             report
             for name, report in self.reports.items()
@@ -128,14 +128,14 @@
         ]
 
     def replay_delay(self, report: InstanceReport) -> float:
-        """Seconds by which the replay of a replica lies behind the log, zero where unknown."""
+        """Seconds by which a replica's replay lags behind the log, zero if unknown."""
         if report.replayed_lsn >= self.log_clock.end:
             return 0.0
         reached = self.log_clock.reached_at(report.replayed_lsn)
         return 0.0 if reached is None else max(0.0, report.answered_at - reached)
 
     def expected_wait(self, report: InstanceReport, floor: Position, now: float) -> float:
-        """Seconds until the replay of a replica is expected to cover `floor`."""
+        """Seconds until a replica's replay is expected to cover `floor`."""
         if report.replayed_covers(floor):
             return 0.0
         reached = self.log_clock.reached_at(floor.lsn)
@@ -143,15 +143,16 @@
         return delay if reached is None else max(0.0, reached + delay - now)
 
     def fresh_reports(self, since: float) -> list[InstanceReport]:
-        """Reports that were asked for at or after a time."""
+        """Reports that were requested at or after a time."""
         return [report for report in self.reports.values() if report.asked_at >= since]
 
     def quorum_floor(self, since: float, require_primary: bool) -> Position | None:
-        """The greatest received position of any majority asked after `since`.
+        """The highest log position received by any instance of a majority, None without one.
 
-        It is never below an acknowledged write: that write was received by a majority, and two
-        majorities share an instance. With `require_primary` the primary must be among them, which
-        the mode that acknowledges without replication needs.
+        Only reports requested at or after `since` count. The result is never below a write
+        acknowledged before: a majority received that write, and two majorities share an instance.
+        With `require_primary` the reports must include the primary's, which is needed if commits
+        are acknowledged without replication.
         """
         fresh = self.fresh_reports(since)
         if len(fresh) < self.majority:
--- a/src/orchidwind/elected/core/home_group.py
+++ b/src/orchidwind/elected/core/home_group.py
@@ -1,15 +1,15 @@
-"""A home proxy's part in one database: binds the parts that serve its requests.
-
-No I/O and no clock: events come in with the time, in seconds of the home's monotonic clock, and
-effects go out. The daemon and the simulator drive this same class. Owns the order in which an event
-reaches the parts; each part has a module of its own:
-
-- `flows.py` is what each kind of request does, `flow_driver.py` resumes it, `request_steps.py`
-  carries its steps out;
-- `view_waits.py` and `routing.py` say where a read runs, `commit_barrier.py` when a commit may be
-  acknowledged, `request_deadlines.py` what a passed deadline means;
-- `server_connections.py`, `open_transactions.py` and `running_requests.py` hold what is in use;
-- `instance_reports.py` keeps `group_view.py` up to date.
+"""Serves the requests for one database at its home proxy.
+
+Has no I/O and no clock: events come in with the time, in seconds of the home proxy's monotonic
+clock, and effects are returned. The daemon and the simulator drive this same class. Owns the order
+in which an event reaches the components, each of which has a module of its own:
+
+- `flows.py` defines the steps of each kind of request, `flow_driver.py` resumes the flows, and
+  `request_steps.py` carries out the steps;
+- `view_waits.py` and `routing.py` decide where a read runs, `commit_barrier.py` when a commit may
+  be acknowledged, and `request_deadlines.py` what happens at a deadline;
+- `server_connections.py`, `open_transactions.py` and `running_requests.py` track what is in use;
+- `instance_reports.py` keeps the view in `group_view.py` up to date.
 """
 
 from __future__ import annotations
@@ -49,7 +49,7 @@
 
 
 class HomeGroup:
-    """One database at its home proxy."""
+    """One database and its group, at its home proxy."""
 
     def __init__(self, shares: Mapping[str, int], options: GroupOptions) -> None:
         """`shares` gives the number of server connections to each instance."""
@@ -80,7 +80,7 @@
     # --- requests -----------------------------------------------------------------------------
 
     def submit(self, now: float, request: StatementRequest) -> list[GroupEffect]:
-        """A request came."""
+        """Start the flow of a request."""
         self._retries.earn()
         flow = self._flow_for(now, request)
         running = RunningRequest(request, flow, request.expires_at, waits_since=now)
@@ -90,7 +90,7 @@
         return self._after(now, lambda: self._driver.advance(now, running, None))
 
     def cancel(self, now: float, channel: ChannelKey) -> list[GroupEffect]:
-        """The caller asked to cancel its running statement; a commit that is sent is not undone."""
+        """Cancel a caller's running request; a commit that was sent is not undone."""
         running = self.requests.on_channel(channel)
         if running is None:
             return []
@@ -102,7 +102,7 @@
         return self._after(now, lambda: self._driver.throw(now, running, error))
 
     def close_channel(self, now: float, channel: ChannelKey) -> list[GroupEffect]:
-        """The caller is gone: give up its request and roll back its transaction."""
+        """Abandon the request and roll back the transaction of a caller that has disconnected."""
         return self._after(now, lambda: self._close_channel(now, channel))
 
     @property
@@ -134,14 +134,14 @@
         if transaction is not None:
             self.connections.release(now, transaction.connection, reusable=False)
 
-    # --- steps (the driver's StepHandler) -----------------------------------------------------
+    # --- steps (StepHandler) ------------------------------------------------------------------
 
     def perform(self, now: float, running: RunningRequest, step: Step) -> StepDone | None:
-        """Carry a step out, or begin it and return None; raises RequestError."""
+        """Carry out a step, or start it and return None; raises RequestError."""
         return self._steps.perform(now, running, step)
 
     def forget_wait(self, running: RunningRequest) -> None:
-        """A request waits no longer for what `running.waits_for` says."""
+        """Cancel the wait for the step `running.waits_for`."""
         self._steps.forget_wait(running)
 
     # --- server connections -------------------------------------------------------------------
@@ -153,7 +153,7 @@
         return self._after(now, lambda: self.connections.opened(now, connection))
 
     def connection_failed(self, now: float, connection: int, limit_met: bool) -> list[GroupEffect]:
-        """A server connection could not be opened; `limit_met` is SQLSTATE 53300."""
+        """A server connection could not be opened; `limit_met` stands for SQLSTATE 53300."""
         instance = self.connections.instance_of(connection)
         if instance is None:
             return [CloseConnection(connection)]
@@ -168,7 +168,7 @@
     def connection_lost(
         self, now: float, connection: int, lost: BackendConnectionLost
     ) -> list[GroupEffect]:
-        """A server connection broke, idle or under a statement."""
+        """A server connection broke, while idle or during a statement."""
         return self._after(now, lambda: self._lose(now, connection, lost))
 
     def run_finished(self, now: float, connection: int, result: RunResult) -> list[GroupEffect]:
@@ -189,7 +189,7 @@
         return self._after(now, change)
 
     def _hand_back(self, now: float) -> None:
-        """The role has moved: requests that have not begun go back to be sent to the new home."""
+        """End requests not yet sent to an instance, so that they go to the new home proxy."""
         for running in self.requests:
             if isinstance(running.waits_for, FIRST_WAITS):
                 self._driver.throw(now, running, home_moved())
@@ -229,7 +229,7 @@
     def reconfigure(
         self, now: float, options: GroupOptions, leaving: set[str]
     ) -> list[GroupEffect]:
-        """Take new routing options; `leaving` instances get no new work, what runs there ends."""
+        """Apply new options; `leaving` instances get no new requests and finish running ones."""
         self._waits.options = options
         self.view.leaving = leaving
         return self._after(now, lambda: None)
@@ -245,14 +245,14 @@
                 self._driver.throw(now, running, commit_superseded())
 
     def _recheck(self, now: float) -> None:
-        """Give the flows that wait for the view what it can answer now."""
+        """Resume the flows whose wait the current view can answer."""
         for running in self.requests:
             step = running.waits_for
             if step is None or running.request.number not in self.requests:
                 continue
             if isinstance(step, steps.WaitForConnection):
                 if not self._waits.may_still_connect(step):
-                    gone = BackendConnectionLost("the instance is away", sent=False)
+                    gone = BackendConnectionLost("the instance is unreachable", sent=False)
                     self._driver.throw(now, running, gone)
                 continue
             result = self._waits.result(now, step, running.waits_since)
@@ -264,11 +264,11 @@
     # --- time ---------------------------------------------------------------------------------
 
     def tick(self, now: float) -> list[GroupEffect]:
-        """Time has passed."""
+        """Process everything that is due at `now`."""
         return self._after(now, lambda: self._tick(now))
 
     def deadline(self) -> float:
-        """When `tick` has something to do."""
+        """When `tick` is next needed."""
         return min(
             self._status.poller.deadline(),
             self.requests.deadline(),
@@ -289,7 +289,7 @@
         self._recheck(now)
 
     def _after(self, now: float, change: Callable[[], None]) -> list[GroupEffect]:
-        """Apply a change, ask what is due, and hand out the effects."""
+        """Apply a change, send the status queries that are due, and return all effects."""
         change()
         self._status.ask_due(now, self.barrier)
         effects = list(self._effects)
--- a/src/orchidwind/elected/core/instance_reports.py
+++ b/src/orchidwind/elected/core/instance_reports.py
@@ -1,9 +1,9 @@
-"""When the instances of a group are asked for their status, and which of them count as away.
+"""Sends the status queries of a group and decides which instances count as unreachable.
 
-Owns the poller of a group and changes its view. An instance is away after a status query that
-failed or took longer than `PollingSettings.timeout`, a connection that could not be opened, or a
-write that it refused as a replica; the next report of it ends that. Times are in seconds of the
-home's monotonic clock.
+Owns the poller of a group and updates its view. An instance becomes unreachable if a status query
+fails or takes longer than `PollingSettings.timeout`, if a connection cannot be opened, or if it
+refuses a write as a replica; its next report makes it reachable again. Times are in seconds of the
+home proxy's monotonic clock.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class InstanceReports:
-    """The reports of a group's instances, asked for in time."""
+    """Requests and stores the status reports of a group's instances."""
 
     def __init__(
         self, view: GroupView, settings: PollingSettings, effects: list[GroupEffect]
@@ -28,7 +28,7 @@
         self._effects = effects
 
     def take(self, report: InstanceReport) -> None:
-        """An instance answered."""
+        """Store the report of an instance that answered."""
         self.poller.answered(report.instance)
         self._view.take(report)
 
@@ -39,19 +39,19 @@
         self.suspect(now, instance)
 
     def suspect(self, now: float, instance: str) -> None:
-        """The instance seems to be away: route round it, and search for its successor."""
+        """Mark an instance as unreachable, and search for a primary."""
         self._view.lose(instance)
         self.poller.search(now)
 
     def give_up_overdue(self, now: float) -> Iterator[str]:
-        """Instances that did not answer in time; their status connections are closed."""
+        """Give up on overdue status queries; yields the instances, now marked as unreachable."""
         for instance in self.poller.overdue(now):
             self._effects.append(ResetObserver(instance))
             self.suspect(now, instance)
             yield instance
 
     def ask_due(self, now: float, barrier: CommitBarrier) -> None:
-        """Send the queries that are due, sooner where a primary is sought or commits wait."""
+        """Send the queries that are due; earlier if no primary is known or commits wait."""
         if self._view.primary() is None:
             self.poller.search(now)
         oldest = barrier.oldest
--- a/src/orchidwind/elected/core/ledger.py
+++ b/src/orchidwind/elected/core/ledger.py
@@ -1,7 +1,7 @@
-"""The statements of the request ledger: one row for each named request that ran.
+"""SQL statements of the request ledger, which has one row for each named request that ran.
 
-The row is written in the transaction of the request itself, so that it lasts exactly if the
-request does. Request identifiers are restricted to characters that need no quoting.
+The row is written in the transaction of the request itself, so that it is durable if and only if
+the request is. Request identifiers are restricted to characters that need no quoting.
 """
 
 from __future__ import annotations
@@ -24,12 +24,12 @@
 
 
 def is_valid_request_id(text: str) -> bool:
-    """Whether a caller may use this text to name a request."""
+    """Whether a text is a valid request identifier."""
     return _VALID_IDENTIFIER.fullmatch(text) is not None
 
 
 def claim_statement(request_id: str, begin: bool = True) -> Statement:
-    """Open a transaction and insert the ledger row; the tag ends in 0 where it was there."""
+    """Insert the ledger row, after BEGIN if `begin`; the tag ends in 0 if the row existed."""
     insert = (
         f"INSERT INTO {LEDGER_TABLE} (request_id, command_tag, recorded_at)"
         f" VALUES ('{request_id}', '', now()) ON CONFLICT DO NOTHING"
@@ -38,13 +38,13 @@
 
 
 def complete_statement(request_id: str, command_tag: str) -> Statement:
-    """Record the outcome and commit."""
+    """Record the command tag in the ledger row and commit."""
     tag = command_tag if _COMMAND_TAG.fullmatch(command_tag) else ""
     update = f"UPDATE {LEDGER_TABLE} SET command_tag = '{tag}' WHERE request_id = '{request_id}'"
     return Statement(f"{update}; COMMIT", simple=True)
 
 
 def lookup_statement(request_id: str) -> Statement:
-    """Read the recorded outcome and end the transaction."""
+    """Read the recorded command tag and end the transaction."""
     select = f"SELECT command_tag FROM {LEDGER_TABLE} WHERE request_id = '{request_id}'"
     return Statement(f"{select}; ROLLBACK", simple=True)
--- a/src/orchidwind/elected/core/member_table.py
+++ b/src/orchidwind/elected/core/member_table.py
@@ -1,9 +1,9 @@
-"""The members that a node knows, and the rules by which newer news of a member replaces older.
+"""The members known to a node, and the rules by which newer information about a member wins.
 
-Owns the table, the node's own entry, and the times at which a suspect counts as dead and a dead
-member is forgotten. A suspect refutes by a higher incarnation; only a member raises its own. What
-is learned goes back to the caller, who spreads it. Times are in seconds of the node's monotonic
-clock.
+Owns the table, the node's own entry, and the times at which a suspect is declared dead and a dead
+member is forgotten. A suspected member refutes the suspicion with a higher incarnation; only the
+member itself raises its incarnation. News is returned to the calling code, which spreads it. Times
+are in seconds of the node's monotonic clock.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 @unique
 class MemberState(IntEnum):
-    """States in the order in which they override each other at one incarnation."""
+    """Member states; at the same incarnation a higher state overrides a lower one."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """One proxy as the others know it."""
+    """One proxy, as known to a node."""
 
     name: str
     zone: str
@@ -39,20 +39,20 @@
     leaving: bool = False
 
     def overrides(self, other: Member) -> bool:
-        """Whether this is newer knowledge than `other`."""
+        """Whether this entry is newer than `other`."""
         return (self.incarnation, self.state) > (other.incarnation, other.state)
 
 
 @dataclass(frozen=True, slots=True)
 class News:
-    """What others should learn of a member; `urgent` news is sent to some of them at once."""
+    """A member entry to spread; `urgent` news is sent to some members at once."""
 
     member: Member
     urgent: bool = False
 
 
 class MemberTable:
-    """All members known to one node, itself among them."""
+    """All members known to one node, including itself."""
 
     def __init__(self, own: Member, settings: MembershipSettings) -> None:
         self.own = own
@@ -62,40 +62,43 @@
         self._forget_at: dict[str, float] = {}
         self._changed = False
 
-    # --- what is known ------------------------------------------------------------------------
+    # --- queries ------------------------------------------------------------------------------
 
     def usable(self) -> list[Member]:
-        """Members that may hold roles: alive or suspected, and not leaving."""
+        """Members that may be homes: alive or suspected, and not leaving."""
         return [member for member in self.reachable() if not member.leaving]
 
     def reachable(self) -> list[Member]:
-        """Members that are not dead, leaving ones among them."""
+        """Members that are not dead, including those that are leaving."""
         return [member for member in self.members.values() if member.state != MemberState.DEAD]
 
     def others(self) -> list[Member]:
-        """Reachable members but this node itself."""
+        """Reachable members except this node."""
         return [member for member in self.reachable() if member.name != self.own.name]
 
     def take_changed(self) -> bool:
-        """Whether what placement and links depend on has changed since the last call."""
+        """Whether anything that affects placement or links has changed since the last call."""
         changed, self._changed = self._changed, False
         return changed
 
     def deadline(self) -> float:
-        """When the next suspect counts as dead, infinity where there is none."""
+        """When the next suspect is declared dead, infinity if there is none."""
         return min(self._suspect_until.values(), default=float("inf"))
 
-    # --- what changes it ----------------------------------------------------------------------
+    # --- updates ------------------------------------------------------------------------------
 
     def learn(self, now: float, member: Member, from_itself: bool = False) -> News | None:
-        """Take knowledge of a member; `from_itself` means that it was the sender."""
+        """Apply information about a member; returns the news to spread, None if there is none.
+
+        `from_itself` means that the member sent it.
+        """
         if member.name == self.own.name:
             return self._refute(member)
         known = self.members.get(member.name)
         if known is None and member.state == MemberState.DEAD:
             return None
         if known is not None and not member.overrides(known):
-            # A sender that counts as suspected or dead is to learn that, so that it can refute it.
+            # A sender that is suspected or dead must learn of it, so that it can refute it.
             outdated = from_itself and known.state != MemberState.ALIVE
             return News(known) if outdated else None
         self._put(now, member)
@@ -104,11 +107,11 @@
         return News(member, urgent=known is not None and _is_urgent(known, member))
 
     def leave(self) -> News:
-        """This node leaves: it is to get no roles any longer."""
+        """Mark this node as leaving, so that it is no longer placed as a home; returns the news."""
         return self._set_own(replace(self.own, leaving=True, incarnation=self.own.incarnation + 1))
 
     def expire_suspects(self, now: float) -> Iterator[News]:
-        """Suspects that did not refute in time count as dead."""
+        """Declare suspects dead that did not refute in time; yields the news."""
         for name, due in list(self._suspect_until.items()):
             if now >= due:
                 news = self.learn(now, replace(self.members[name], state=MemberState.DEAD))
@@ -116,7 +119,7 @@
                     yield news
 
     def forget_dead(self, now: float) -> None:
-        """Drop members that have been dead for long."""
+        """Drop members that have been dead for longer than `forget_dead_after`."""
         for name, due in list(self._forget_at.items()):
             if now >= due:
                 del self._forget_at[name]
@@ -132,12 +135,12 @@
             self._forget_at[member.name] = now + self._settings.forget_dead_after
 
     def _suspicion_seconds(self) -> float:
-        """Longer with more members, since a refutation takes longer to reach all."""
+        """Grows with the number of members, since a refutation takes longer to reach all."""
         scale = max(1.0, math.log10(max(len(self.members), 2)))
         return self._settings.suspicion_periods * scale * self._settings.period
 
     def _refute(self, claim: Member) -> News | None:
-        """Others' news of this node itself: override it where it is wrong."""
+        """Override a wrong claim about this node; returns the news, None if the claim is right."""
         if claim.incarnation < self.own.incarnation:
             return None
         differs = claim.state != MemberState.ALIVE or claim.leaving != self.own.leaving
@@ -154,7 +157,7 @@
 
 
 def _is_urgent(known: Member, member: Member) -> bool:
-    """A member is gone, or has refuted a suspicion."""
+    """Whether the member became or ceased to be gone, or has refuted a suspicion."""
     gone = member.leaving or member.state == MemberState.DEAD
     was_gone = known.leaving or known.state == MemberState.DEAD
     refuted = known.state != MemberState.ALIVE and member.state == MemberState.ALIVE
@@ -162,6 +165,6 @@
 
 
 def _role_view(member: Member) -> tuple[bool, bool, str, int, str]:
-    """What placement and links depend on."""
+    """The parts of an entry that placement and links depend on."""
     dead = member.state == MemberState.DEAD
     return dead, member.leaving, member.host, member.peer_port, member.zone
--- a/src/orchidwind/elected/core/membership.py
+++ b/src/orchidwind/elected/core/membership.py
@@ -1,8 +1,8 @@
-"""Membership by probing and gossip (after SWIM: Das, Gupta, Motivala 2002), with a leaving mark.
+"""Membership by probing and gossip (after SWIM: Das, Gupta, Motivala 2002), with a leaving flag.
 
-No I/O and no clock: events come in with the time, in seconds of the node's monotonic clock, and
-effects go out. Owns when a member is suspected; binds the table (`member_table.py`), the probes
-(`probing.py`) and what is sent to others (`gossip.py`).
+Has no I/O and no clock: events come in with the time, in seconds of the node's monotonic clock, and
+effects are returned. Owns when a member becomes suspected; connects the member table
+(`member_table.py`), the probes (`probing.py`) and the spreading of news (`gossip.py`).
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
         generator: random.Random,
         settings: MembershipSettings | None = None,
     ) -> None:
-        """`seeds` are addresses (host, gossip port) to ask first."""
+        """`seeds` are the addresses (host, gossip port) contacted at the start."""
         settings = settings or MembershipSettings()
         self.suspicions = 0
         self._settings = settings
@@ -45,36 +45,36 @@
         self._gossip = Gossip(self._table, seeds, generator, settings, self._effects)
         self._prober = Prober(self._table, self._gossip, generator, settings)
 
-    # --- what others ask ----------------------------------------------------------------------
+    # --- queries ------------------------------------------------------------------------------
 
     @property
     def members(self) -> dict[str, Member]:
-        """All members known, by name, dead ones for a time among them."""
+        """All known members by name, including dead ones until they are forgotten."""
         return self._table.members
 
     @property
     def seeds(self) -> list[tuple[str, int]]:
-        """The addresses that are asked first."""
+        """The addresses contacted at the start."""
         return self._gossip.seeds
 
     def usable(self) -> list[Member]:
-        """Members that may hold roles: alive or suspected, and not leaving."""
+        """Members that may be homes: alive or suspected, and not leaving."""
         return self._table.usable()
 
     def reachable(self) -> list[Member]:
-        """Members that are not dead, leaving ones among them."""
+        """Members that are not dead, including those that are leaving."""
         return self._table.reachable()
 
     # --- events -------------------------------------------------------------------------------
 
     def start(self, now: float) -> list[MembershipEffect]:
-        """Ask the seeds for their lists."""
+        """Start probing, and ask the seeds for their member lists."""
         self._prober.start(now)
         self._gossip.start(now)
         return self._take_effects()
 
     def add_seeds(self, seeds: Iterable[tuple[str, int]]) -> list[MembershipEffect]:
-        """A list of machines names these addresses; those not known yet are asked."""
+        """Ask those addresses for their lists that belong to no known member."""
         known = {(member.host, member.gossip_port) for member in self.members.values()}
         for address in seeds:
             if address not in known:
@@ -82,19 +82,19 @@
         return self._take_effects()
 
     def leave(self) -> list[MembershipEffect]:
-        """Announce that this node leaves: it gets no roles any longer."""
+        """Announce that this node is leaving, so that it is no longer placed as a home."""
         self._gossip.spread(self._table.leave())
         return self._take_effects()
 
     def set_configuration_version(self, version: int) -> list[MembershipEffect]:
-        """A new configuration is in force here: announce it to some members at once."""
+        """Store the version in force at this node, and announce a higher one at once."""
         if version > self._gossip.configuration_version:
             self._gossip.configuration_version = version
             self._gossip.announce()
         return self._take_effects()
 
     def receive(self, now: float, message: MembershipMessage) -> list[MembershipEffect]:
-        """Take a datagram."""
+        """Process a message from another member."""
         self._gossip.spread(self._table.learn(now, message.sender, from_itself=True))
         for member in message.updates:
             self._gossip.spread(self._table.learn(now, member))
@@ -111,7 +111,7 @@
         return self._take_effects()
 
     def tick(self, now: float) -> list[MembershipEffect]:
-        """Time has passed."""
+        """Process everything that is due at `now`."""
         for news in self._table.expire_suspects(now):
             self._gossip.spread(news)
         self._table.forget_dead(now)
@@ -124,11 +124,11 @@
         return self._take_effects()
 
     def deadline(self) -> float:
-        """When `tick` has something to do."""
+        """When `tick` is next needed."""
         return min(self._prober.deadline(), self._gossip.next_exchange, self._table.deadline())
 
     def _begin_period(self, now: float) -> None:
-        """Suspect the member that did not answer in the last period, and probe the next."""
+        """Suspect the member that did not answer in the last period, and probe the next one."""
         self._prober.next_probe = now + self._settings.period
         unanswered = self._prober.take_unanswered()
         if unanswered is not None:
@@ -142,7 +142,7 @@
         self.suspicions += 1
         suspected = replace(member, state=MemberState.SUSPECT)
         self._gossip.spread(self._table.learn(now, suspected))
-        # The suspected member itself is informed first, since it alone can refute.
+        # Inform the suspected member directly, since only the member itself can refute.
         self._gossip.inform(member, (suspected,))
 
     def _take_effects(self) -> list[MembershipEffect]:
--- a/src/orchidwind/elected/core/membership_messages.py
+++ b/src/orchidwind/elected/core/membership_messages.py
@@ -1,6 +1,6 @@
-"""The messages between members, and the effects that the membership asks its driver for.
+"""The messages between members, and the effects that `Membership` returns to its driver.
 
-Relies on `network/codec.py` for their form on the wire.
+Relies on `network/codec.py` for the wire format.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Probe:
-    """Asks for an acknowledgement; `on_behalf` names the node that asked for the probe."""
+    """Requests an acknowledgement; `on_behalf` is the node that requested an indirect probe."""
 
     sequence: int
     sender: Member
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProbeAnswer:
-    """The acknowledgement of a probe; `subject` is the member that is alive."""
+    """Acknowledges a probe; `subject` is the probed member, which is alive."""
 
     sequence: int
     sender: Member
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Exchange:
-    """A part of the whole member list; `wants_answer` asks for the other side's list."""
+    """A part of the full member list; `wants_answer` requests the recipient's list."""
 
     sender: Member
     wants_answer: bool
@@ -67,12 +67,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ViewChanged:
-    """The set of usable members has changed."""
+    """Something that placement or the links between members depend on has changed."""
 
 
 @dataclass(frozen=True, slots=True)
 class PeerVersion:
-    """A member has this version of the configuration in force."""
+    """A member reported the version of the configuration that it has in force."""
 
     peer: str
     version: int
--- a/src/orchidwind/elected/core/membership_settings.py
+++ b/src/orchidwind/elected/core/membership_settings.py
@@ -1,4 +1,4 @@
-"""The times and counts of membership, and where each comes from."""
+"""The timing and counts of the membership protocol, with the reason for each."""
 
 from __future__ import annotations
 
@@ -7,29 +7,28 @@
 
 @dataclass(frozen=True, slots=True)
 class MembershipSettings:
-    """Durations in seconds, unless the name says otherwise; counts without a unit."""
+    """Durations are in seconds unless the name says otherwise; counts have no unit."""
 
-    # One probe a node and second. All other times of membership are multiples of it.
+    # One probe per node and second. The other membership times are relative to this period.
     period: float = 1.0
-    # Must exceed a round trip between regions; leaves the indirect probes the rest of the
-    # period.
+    # Must exceed a round trip between regions. The rest of the period is left to indirect probes.
     answer_timeout: float = 0.3
-    # As in SWIM: this many others probe a member that did not answer.
+    # As in SWIM: the number of other members that probe a member that did not answer.
     indirect_probes: int = 3
-    # Fewer periods declare live members dead under loss, more delay the loss of roles
-    # (docs/DECISIONS.md, "Urgent membership news is pushed").
+    # With fewer periods live members are declared dead under packet loss; with more, the homes of a
+    # lost member are reassigned later (docs/DECISIONS.md, "Urgent membership news is pushed").
     suspicion_periods: float = 2.0
-    # A probe with 8 updates takes 533 bytes (encoded with names of 15 characters), well
-    # below the 1,472 of an unfragmented datagram.
+    # A probe with 8 updates takes 533 bytes (encoded with names of 15 characters), well below the
+    # 1,472 bytes of an unfragmented datagram.
     updates_a_message: int = 8
-    # As in SWIM: each update travels on this many messages times the logarithm (base 2) of
-    # the members, so that it reaches all with a probability that does not fall as they grow.
+    # As in SWIM: each update is sent on this many messages times the binary logarithm of the number
+    # of members, so that the probability of reaching all does not fall as members are added.
     spread_factor: float = 3.0
-    # Mends what lost datagrams left different; traffic grows with members over this time.
+    # Repairs differences left by lost datagrams. Traffic is proportional to members / interval.
     exchange_interval: float = 30.0
-    # Members of the whole list in one datagram; 16 take 992 bytes, encoded as above.
+    # Members per datagram when the full list is sent; 16 take 992 bytes, encoded as above.
     exchange_part: int = 16
-    # Longer than old news of a dead member may travel, so that it isn't taken for new.
+    # Longer than old news of a dead member can circulate, so that it is not taken for new.
     forget_dead_after: float = 120.0
-    # How many learn urgent news at once.
+    # Number of members to which urgent news is sent at once.
     announce_fanout: int = 4
--- a/src/orchidwind/elected/core/named_write.py
+++ b/src/orchidwind/elected/core/named_write.py
@@ -1,7 +1,7 @@
-"""The flow of a write that its caller named: it runs at most once, whatever is repeated.
+"""The flow of a named write, which runs at most once even if it is repeated.
 
 For: `home_group.py`. Owns: the order of ledger row, statement and commit. Relies on: `ledger.py`
-for the row, `retries.py` for what is tried again.
+for the row, `retries.py` for what is retried.
 """
 
 from __future__ import annotations
@@ -48,13 +48,13 @@
 
 
 def named_write_flow(request: StatementRequest) -> Flow:
-    """A named write: what may have run is settled by the ledger, so it is tried again here.
+    """Run a named write; it is retried here, since the ledger shows whether an attempt ran.
 
-    Where an attempt's commit lasted, the next attempt finds its row and returns the recorded
-    outcome; where it did not, nothing of it is left, and what the database says of the next attempt
-    is definite. Only a part of the answer that went out already, a cancel, or the deadline ends the
-    attempts; if one of them had sent its commit, the outcome is then unknown, however the last one
-    ended.
+    If an attempt's commit took effect, the next attempt finds its row and returns the recorded
+    outcome. If it did not, nothing of that attempt remains, and the database's answer to the next
+    attempt is definite. The attempts end early if part of an answer was already delivered, if the
+    caller cancels, at the deadline, or if the retry budget is used up. If any attempt had sent its
+    commit by then, the outcome is unknown, whatever the last attempt's error was.
     """
     in_doubt = False
     while True:
@@ -82,7 +82,7 @@
 
 @dataclass(slots=True)
 class _NamedAttempt:
-    """How far an attempt came."""
+    """How far an attempt has come."""
 
     committing: bool = False
     delivered: bool = False
@@ -94,10 +94,10 @@
     connection: int,
     attempt: _NamedAttempt,
 ) -> Generator[Step, StepResult, str]:
-    """Claim the ledger row, run the statement, record its outcome and commit; the command tag.
+    """Claim the ledger row, run the statement, record its outcome and commit; returns the tag.
 
-    Where the row is there already, the request ran, and the recorded tag is returned. A repeat that
-    meets the first attempt still running waits on the row's unique index until that has ended.
+    If the row already exists, the request has run and the recorded command tag is returned. While
+    an earlier attempt still runs, the insert waits on the row's unique index until it has ended.
     """
     claim = yield from run(connection, claim_statement(request.request_id))
     if claim.error is not None and claim.error.sqlstate == UNDEFINED_TABLE:
@@ -123,7 +123,7 @@
 
 
 def _stop_on_error(connection: int, result: RunResult) -> Generator[Step, StepResult, None]:
-    """A failed statement ends the attempt; closing the connection rolls back."""
+    """Raise the error of a failed statement; the connection is closed, which rolls back."""
     if result.error is not None:
         yield Release(connection, reusable=False)
         raise result.error
--- a/src/orchidwind/elected/core/open_transactions.py
+++ b/src/orchidwind/elected/core/open_transactions.py
@@ -1,6 +1,6 @@
-"""The open transactions at a home, by the channel of the session that each belongs to.
+"""The open transactions at a home proxy, by the channel of their session.
 
-Owns which server connection is bound to which session. Times are in seconds of the home's
+Owns which server connection is bound to which session. Times are in seconds of the home proxy's
 monotonic clock.
 """
 
@@ -11,10 +11,10 @@
 
 
 class OpenTransactions:
-    """Transactions that have begun and not ended."""
+    """Transactions that have begun and not yet ended."""
 
     def __init__(self, idle_seconds: float) -> None:
-        """A transaction without a statement for `idle_seconds` is to be ended."""
+        """Transactions count as idle after `idle_seconds` without a new statement."""
         self.by_channel: dict[ChannelKey, OpenTransaction] = {}
         self._idle_seconds = idle_seconds
 
@@ -25,30 +25,30 @@
         return channel in self.by_channel
 
     def bind(self, now: float, channel: ChannelKey, step: BindTransaction) -> None:
-        """A session's transaction has begun on a connection."""
+        """Bind a connection to a session whose transaction has begun."""
         self.by_channel[channel] = OpenTransaction(
             step.connection, step.instance, step.term, step.read_only, last_used=now
         )
 
     def use(self, now: float, channel: ChannelKey) -> OpenTransaction | None:
-        """The session's transaction, which a statement uses now; None where it has none."""
+        """The session's transaction, whose idle time restarts; None if it has none."""
         transaction = self.by_channel.get(channel)
         if transaction is not None:
             transaction.last_used = now
         return transaction
 
     def end(self, channel: ChannelKey) -> OpenTransaction | None:
-        """The session's transaction is over; what it was, None where there was none."""
+        """Remove and return the session's transaction; None if it has none."""
         return self.by_channel.pop(channel, None)
 
     def connection_lost(self, connection: int) -> None:
-        """A transaction that rested on this connection is gone with it."""
+        """Remove the transaction that is bound to a lost connection, if any."""
         for channel, transaction in list(self.by_channel.items()):
             if transaction.connection == connection:
                 del self.by_channel[channel]
 
     def idle(self, now: float) -> list[ChannelKey]:
-        """Sessions whose last statement in a transaction began too long ago."""
+        """Sessions whose last statement in a transaction began `idle_seconds` ago or earlier."""
         return [
             channel
             for channel, transaction in self.by_channel.items()
@@ -56,6 +56,6 @@
         ]
 
     def deadline(self) -> float:
-        """When the next of them counts as idle, infinity where none is open."""
+        """When the next transaction counts as idle, infinity if none is open."""
         due = (item.last_used + self._idle_seconds for item in self.by_channel.values())
         return min(due, default=float("inf"))
--- a/src/orchidwind/elected/core/placement.py
+++ b/src/orchidwind/elected/core/placement.py
@@ -1,8 +1,8 @@
-"""Rendezvous hashing: which proxy is the home of a database in each zone, and with how many slots.
+"""Assigns each database a home proxy and a number of slots in each zone, by rendezvous hashing.
 
-Every node computes the same answer from the same membership view. Views that differ for a moment
-can give a database two homes in a zone; the database's own connection limit then has the last
-word, and the promises do not rest on a home being the only one.
+Every node computes the same placement from the same membership view. While views differ, a database
+may have two homes in a zone; the database's own connection limit then still holds, and the
+consistency guarantees do not depend on the home being unique.
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Node:
-    """A proxy that may hold roles."""
+    """A proxy that may be a home."""
 
     name: str
     zone: str
 
 
 class Placement:
-    """The roles that follow from a set of nodes."""
+    """The homes and shares that follow from a set of nodes."""
 
     def __init__(self, nodes: Sequence[Node], zones: Sequence[ZoneSettings]) -> None:
         self._by_zone: dict[str, list[str]] = {}
@@ -33,10 +33,10 @@
         self._zones = [zone.name for zone in zones if zone.name in self._by_zone]
 
     def zone_shares(self, database: DatabaseSettings) -> Mapping[str, int]:
-        """Server connections to each instance for each zone that has nodes.
+        """The number of server connections to each instance, by zone that has nodes.
 
-        The operator's division counts where it is given; slots that it leaves, and those of zones
-        without nodes, go round the zones in the database's own order.
+        The operator's `zone_slots` apply where given. The slots they leave, and those of zones
+        without nodes, are dealt out in turn to the zones in the database's rendezvous order.
         """
         shares = {
             zone: min(database.zone_slots.get(zone, 0), database.slots) for zone in self._zones
@@ -48,7 +48,7 @@
         return shares
 
     def home(self, database: DatabaseSettings, zone: str) -> str | None:
-        """The proxy that serves a database to callers of a zone."""
+        """The home proxy of a database for callers in a zone, None if no zone has a share."""
         shares = self.zone_shares(database)
         serving = zone if shares.get(zone, 0) > 0 else self._nearest(database, zone, shares)
         if serving is None:
@@ -56,13 +56,13 @@
         return first(database.name, self._by_zone[serving])
 
     def homes(self, database: DatabaseSettings) -> list[str]:
-        """The homes of a database in all zones that have a share of it."""
+        """The home proxies of a database, one for each zone that has a share."""
         shares = self.zone_shares(database)
         found = (first(database.name, self._by_zone[zone]) for zone in shares if shares[zone] > 0)
         return [name for name in found if name is not None]
 
     def shares_of(self, database: DatabaseSettings, node: Node) -> int:
-        """Connections to each instance that a node holds as home, 0 where it is not."""
+        """The connections to each instance that a node may hold; 0 if it is not a home."""
         share = self.zone_shares(database).get(node.zone, 0)
         if share == 0 or first(database.name, self._by_zone.get(node.zone, [])) != node.name:
             return 0
@@ -77,5 +77,5 @@
         return next(iter(near or serving), None)
 
     def watchers(self, zone: str, number: int) -> list[str]:
-        """The nodes of a zone that read the platform; the others hear from their peers."""
+        """The nodes of a zone that read the platform; the others learn from their peers."""
         return rank(f"configuration/{zone}", self._by_zone.get(zone, []))[:number]
--- a/src/orchidwind/elected/core/polling.py
+++ b/src/orchidwind/elected/core/polling.py
@@ -1,10 +1,11 @@
-"""Decides when each instance of a group is asked for its status.
+"""Decides when each instance of a group is queried for its status.
 
-Owns the times of queries; `instance_reports.py` sends them. Times are in seconds of its clock.
+Owns the schedule of queries; `instance_reports.py` sends them. Times are in seconds of the home
+proxy's monotonic clock.
 
-Idle groups are asked seldom, since this cost is paid for every database. Commits that wait for
-confirmation and reads that wait for a floor ask for a report that leaves after they arrived; one
-round serves all that wait. Rounds are spaced wider the longer the oldest has waited.
+Idle groups are queried rarely, since every database incurs this cost. Commits that wait for
+confirmation and reads that wait for a floor need a report requested after they arrived; one round
+of queries serves all of them. The longer the oldest has waited, the wider rounds are spaced.
 """
 
 from __future__ import annotations
@@ -12,8 +13,8 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-# The time between two rounds that somebody waits for is this share of the age of the oldest
-# wait, within the two bounds; so a wait costs queries that grow with the logarithm of its length.
+# While requests wait, the time between two rounds is this fraction of the age of the oldest wait,
+# within the two bounds, so that the queries of a wait grow with the logarithm of its length.
 _GAP_SHARE_OF_AGE = 0.1
 _SHORTEST_GAP_SECONDS = 0.001
 _WIDEST_GAP_SECONDS = 0.025
@@ -23,12 +24,12 @@
 class PollingSettings:
     """Intervals between queries to an instance, in seconds."""
 
-    # More often, they take about the whole control traffic of a node
+    # Shorter intervals take about the whole control traffic of a node
     # (docs/DECISIONS.md, "Status queries: prepared, every 2 s while idle").
     idle_interval: float = 2.0
-    # While no primary is known. Bounds what the search adds to a failover gap.
+    # While no primary is known. Bounds the time that the search adds to a failover.
     searching_interval: float = 0.05
-    # Without an answer for this time an instance counts as away; reads run elsewhere.
+    # An instance that has not answered for this long is unreachable; reads run on others.
     timeout: float = 0.4
 
 
@@ -40,14 +41,17 @@
 
 
 class StatusPoller:
-    """The timing of status queries to each instance."""
+    """The schedule of status queries to each instance."""
 
     def __init__(self, instances: Sequence[str], settings: PollingSettings) -> None:
         self._settings = settings
         self._observed = {instance: _Observed() for instance in instances}
 
     def want(self, now: float, oldest: float, instances: Sequence[str] | None = None) -> None:
-        """Somebody waits for a report asked for after `now`; the first of them since `oldest`."""
+        """Schedule queries at or after `now`, for requests that have waited since `oldest`.
+
+        Queries all instances unless `instances` is given.
+        """
         gap = (now - oldest) * _GAP_SHARE_OF_AGE
         gap = min(max(gap, _SHORTEST_GAP_SECONDS), _WIDEST_GAP_SECONDS)
         for instance in instances if instances is not None else self._observed:
@@ -56,12 +60,12 @@
             observed.next_at = min(observed.next_at, due)
 
     def want_at(self, instance: str, at: float) -> None:
-        """A report of one instance is of use at a time."""
+        """Schedule a report of one instance at a time, or earlier."""
         observed = self._observed[instance]
         observed.next_at = min(observed.next_at, at)
 
     def due(self, now: float) -> list[str]:
-        """Instances to ask now; they count as asked."""
+        """Return the instances to query now, and record them as queried."""
         asked = []
         for instance, observed in self._observed.items():
             if observed.asked_at is None and now >= observed.next_at:
@@ -72,18 +76,18 @@
         return asked
 
     def answered(self, instance: str) -> None:
-        """An answer, or a failure, came."""
+        """Record that a query was answered or failed."""
         self._observed[instance].asked_at = None
 
     def search(self, now: float) -> None:
-        """No primary is known: ask all soon."""
+        """Query all instances at the searching interval, since no primary is known."""
         for observed in self._observed.values():
             observed.next_at = min(
                 observed.next_at, observed.last_asked_at + self._settings.searching_interval
             )
 
     def overdue(self, now: float) -> list[str]:
-        """Instances that have not answered within the time; they may be asked anew."""
+        """Return the instances that did not answer in time; they may be queried again."""
         late = []
         for instance, observed in self._observed.items():
             if observed.asked_at is not None and now >= observed.asked_at + self._settings.timeout:
@@ -93,7 +97,7 @@
         return late
 
     def deadline(self) -> float:
-        """When the next query is due or overdue."""
+        """When the next query is due or the next timeout expires."""
         return min(
             observed.next_at
             if observed.asked_at is None
--- a/src/orchidwind/elected/core/probing.py
+++ b/src/orchidwind/elected/core/probing.py
@@ -1,8 +1,9 @@
-"""Which member a node probes next, through whom it asks again, and whom it probes for others.
+"""Failure detection: probes one member per period, directly and then through other members.
 
-Each period one member is probed, directly and, without an answer, through others (SWIM). Owns the
-probe that is under way and the probes made for others; relies on the member table and on gossip,
-whose updates travel on probes and answers. Times are in seconds of the node's monotonic clock.
+Follows SWIM: if the probed member does not answer directly, other members are asked to probe it.
+Owns the probe in progress and the probes relayed for other members. Relies on the member table and
+on gossip, whose updates are piggybacked on probes and answers. Times are in seconds of the node's
+monotonic clock.
 """
 
 from __future__ import annotations
@@ -52,18 +53,18 @@
         self._order: list[str] = []
 
     def start(self, now: float) -> None:
-        """Begin at a random moment of the first period, so that nodes don't probe in step."""
+        """Start at a random time in the first period, so that nodes do not probe in lockstep."""
         self.next_probe = now + self._random.uniform(0, self._settings.period)
 
     def deadline(self) -> float:
-        """When the next probe, or the help of others, is due."""
+        """When the next direct probe, or the indirect probes of the current target, are due."""
         probe = self._own_probe
         if probe is None or probe.indirect:
             return self.next_probe
         return min(self.next_probe, probe.answer_due)
 
     def ask_others_if_due(self, now: float) -> None:
-        """Probe through others a member that has not answered directly in time."""
+        """Start indirect probes if the target has not answered the direct probe in time."""
         probe = self._own_probe
         if probe is not None and not probe.indirect and now >= probe.answer_due:
             self._probe_indirectly(probe)
@@ -84,11 +85,11 @@
         self._gossip.send(target, self._probe(self._sequence, ""))
 
     def on_probe(self, probe: Probe) -> None:
-        """Another member probes this node."""
+        """Answer a probe of this node."""
         self._answer(probe.sender, probe.sequence, self._table.own.name)
 
     def on_request(self, now: float, request: ProbeRequest) -> None:
-        """Another member asks this node to probe a third."""
+        """Probe a third member on behalf of the requester; an unknown target is ignored."""
         target = self._table.members.get(request.target)
         if target is None:
             return
@@ -100,7 +101,7 @@
         self._gossip.send(target, self._probe(self._sequence, request.sender.name))
 
     def on_answer(self, answer: ProbeAnswer) -> None:
-        """A member answered: this node's probe, or one made for another member."""
+        """Complete this node's own probe, or pass a relayed probe's answer to its requester."""
         relayed = self._relayed.pop(answer.sequence, None)
         if relayed is not None:
             requester = self._table.members.get(relayed.requester)
@@ -111,13 +112,17 @@
             self._own_probe = None
 
     def expire_relayed(self, now: float) -> None:
-        """Forget probes made for others that were not answered."""
+        """Drop relayed probes that were not answered in time."""
         for sequence, relayed in list(self._relayed.items()):
             if now >= relayed.expires_at:
                 del self._relayed[sequence]
 
     def _draw_target(self) -> Member | None:
-        """Members in a random order that is drawn anew each round, so that none waits long."""
+        """The next member to probe, None if there is no other live member.
+
+        Members are probed in a random order that is reshuffled after each round, which bounds the
+        time between two probes of a member.
+        """
         own = self._table.own.name
         for _ in range(2):
             while self._order:
--- a/src/orchidwind/elected/core/request_deadlines.py
+++ b/src/orchidwind/elected/core/request_deadlines.py
@@ -1,9 +1,9 @@
-"""What happens to a running statement when its deadline passes or its instance falls silent.
+"""What happens to a running statement when its deadline passes or its instance stops answering.
 
-Owns the rule: the deadline bounds what comes before a statement. A statement that has begun on an
-instance that answers is let run, since to kill reports and index builds would surprise callers; on
-an instance that does not answer it is given up, and a read there is run elsewhere at once.
-Times are in seconds of the home's monotonic clock.
+Owns the rule: the deadline bounds the time before a statement starts. A statement that has started
+on a responsive instance may continue, since killing reports and index builds would surprise
+callers. On an unresponsive instance the statement is abandoned, and a read is retried on another
+instance at once. Times are in seconds of the home proxy's monotonic clock.
 """
 
 from __future__ import annotations
@@ -18,13 +18,13 @@
 from orchidwind.elected.core.statements import RequestKind
 from orchidwind.elected.core.steps import Run
 
-# How often, in seconds, a statement past its deadline is looked at, and its front learns
-# that it still runs. The front waits that much longer each time (`network/front.py`).
+# How often, in seconds, a statement past its deadline is checked and the front proxy notified that
+# it still runs. Each notice extends the front proxy's wait by this time (`network/front.py`).
 STILL_RUNNING_SECONDS = 2.0
 
 
 class RequestDeadlines:
-    """Decides about statements that run for long."""
+    """Decides whether statements past their deadline continue."""
 
     def __init__(
         self,
@@ -41,13 +41,16 @@
         self._effects = effects
 
     def expired(self, now: float) -> Iterator[RunningRequest]:
-        """Requests whose deadline has passed, whether or not a statement of theirs runs."""
+        """Yield the requests whose deadline has passed, with or without a running statement."""
         for running in self._requests:
             if running.expires_at <= now:
                 yield running
 
     def extend(self, now: float, running: RunningRequest) -> bool:
-        """Let the statement of an expired request run on; whether that is allowed."""
+        """Extend the deadline of an expired request whose statement runs on a responsive instance.
+
+        Returns False if no statement of the request runs or its instance is unreachable.
+        """
         step = running.waits_for
         if not isinstance(step, Run):
             return False
@@ -59,7 +62,7 @@
         return True
 
     def abandon_reads(self, instance: str) -> None:
-        """Break the connections of reads outside transactions that run on a silent instance."""
+        """Abandon the connections of reads outside transactions that run on `instance`."""
         for running in self._requests:
             step = running.waits_for
             if not isinstance(step, Run) or running.request.channel in self._transactions:
--- a/src/orchidwind/elected/core/request_errors.py
+++ b/src/orchidwind/elected/core/request_errors.py
@@ -1,8 +1,8 @@
-"""The errors of requests that fail at a home: what the caller may conclude from each.
+"""The errors of requests that fail at a home proxy, grouped by what the caller may conclude.
 
-Owns the texts and kinds. "Did not run" is said only where no byte of the request reached an
-instance, or where the database is known to have rolled it back; a write whose fate is not known is
-never said to have failed.
+Owns the texts and kinds. An error states that a request did not run only if no byte of it was sent
+to an instance or if the database is known to have rolled it back. A write whose outcome is not
+known is never reported as failed.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 def home_moved() -> RequestError:
-    """This proxy is home of the database no longer; the front sends the request to the new one."""
+    """This proxy is no longer the home; the front proxy sends the request to the new one."""
     return RequestError(ErrorKind.NO_HOME, "another proxy serves this database now")
 
 
@@ -30,7 +30,7 @@
 
 
 def deadline_passed(step: Step | None) -> RequestError:
-    """The deadline passed; the step that the request waited for gives the reason."""
+    """The deadline passed; the step that the request waited for determines the reason."""
     if isinstance(step, WaitForPrimary):
         return RequestError(ErrorKind.NO_PRIMARY, "the group has no primary that can be reached")
     if isinstance(step, WaitForRoute | WaitForFloor):
@@ -39,7 +39,7 @@
 
 
 def cancelled(reason: str) -> RequestError:
-    """The caller gave the request up."""
+    """The caller cancelled the request or disconnected."""
     return RequestError(ErrorKind.CANCELLED, reason)
 
 
@@ -52,7 +52,7 @@
 
 
 def transaction_lost() -> RequestError:
-    """The connection of a transaction was lost under a statement that can't have committed."""
+    """A transaction's connection was lost, and the transaction cannot have committed."""
     return RequestError(
         ErrorKind.TRANSACTION_LOST,
         "the transaction's server connection was lost; nothing of it ran",
@@ -63,24 +63,24 @@
 
 
 def read_interrupted() -> RequestError:
-    """A read is not tried again; it changed nothing."""
+    """A read lost its connection and is not retried; it changed nothing."""
     return RequestError(ErrorKind.READ_INTERRUPTED, "the server connection was lost in a read")
 
 
 def write_lost() -> RequestError:
-    """The connection was lost after a write, or the end of a transaction, was sent."""
+    """The connection was lost after a write or the end of a transaction had been sent."""
     return RequestError(
         ErrorKind.OUTCOME_UNKNOWN, "the answer to a write was lost; it may or may not have run"
     )
 
 
 def commit_superseded() -> RequestError:
-    """Another primary may have begun without the commit."""
+    """A new primary may have started without the commit."""
     return RequestError(ErrorKind.OUTCOME_UNKNOWN, "a later term has begun")
 
 
 def write_not_confirmed() -> RequestError:
-    """The commit was answered, and no majority was seen to have it in time."""
+    """The commit was answered, but no majority was known to hold it in time."""
     return RequestError(
         ErrorKind.OUTCOME_UNKNOWN,
         "the write was not confirmed by a majority in time; it may or may not last",
--- a/src/orchidwind/elected/core/request_steps.py
+++ b/src/orchidwind/elected/core/request_steps.py
@@ -1,6 +1,6 @@
-"""Carries out the steps of requests at a home, each by the part of the group that it concerns.
+"""Carries out the steps of requests at a home proxy through the components of its group.
 
-Owns no state. Relies on the parts named in `GroupParts`, which `home_group.py` makes and binds.
+Owns no state. Relies on the components in `GroupParts`, which `home_group.py` creates.
 """
 
 from __future__ import annotations
@@ -19,13 +19,13 @@
 from orchidwind.elected.core.steps import Step
 from orchidwind.elected.core.view_waits import ViewWaits
 
-# What a request waits for before anything of it was sent to an instance.
+# The steps in which a request waits before any of it is sent to an instance.
 FIRST_WAITS = (steps.WaitForPrimary, steps.WaitForRoute, steps.WaitForConnection)
 
 
 @dataclass(frozen=True, slots=True)
 class GroupParts:
-    """What steps ask, or change."""
+    """The components of a group that steps use."""
 
     barrier: CommitBarrier
     connections: ServerConnections
@@ -36,13 +36,13 @@
 
 
 class RequestSteps:
-    """Begins each step; what is not done at once is finished by a later event."""
+    """Starts each step; a step that is not done at once is completed by a later event."""
 
     def __init__(self, parts: GroupParts) -> None:
         self._parts = parts
 
     def perform(self, now: float, running: RunningRequest, step: Step) -> StepDone | None:
-        """Carry a step out, or begin it and return None; raises RequestError."""
+        """Carry out a step, or start it and return None; raises RequestError."""
         if isinstance(step, FIRST_WAITS) and not self._parts.connections.has_share:
             raise home_moved()
         if isinstance(step, steps.WaitForConnection):
@@ -57,14 +57,14 @@
         return at_once or self._wait_for_view(now, step)
 
     def forget_wait(self, running: RunningRequest) -> None:
-        """A request waits no longer for what `running.waits_for` says."""
+        """Cancel the wait for the step `running.waits_for`."""
         number = running.request.number
         if isinstance(running.waits_for, steps.WaitForConnection):
             self._parts.connections.stop_waiting(number, running.waits_for.instance)
         self._parts.barrier.drop(number)
 
     def _perform_at_once(self, now: float, running: RunningRequest, step: Step) -> StepDone | None:
-        """The steps that wait for nothing; None for all others."""
+        """Carry out a step that never waits; returns None for any other step."""
         parts = self._parts
         channel = running.request.channel
         match step:
--- a/src/orchidwind/elected/core/retries.py
+++ b/src/orchidwind/elected/core/retries.py
@@ -1,21 +1,21 @@
-"""What is tried again, by whom, how often, and what a caller learns where it is not.
+"""Retry rules: what is retried, how often, and which error the caller gets otherwise.
 
-| what failed | tried again | bounded by |
+| failure | retried | bounded by |
 |---|---|---|
-| no byte left for the instance | always: nothing ran; a named write within the budget | deadline |
-| a replica refused a write | on its successor: nothing ran | deadline |
-| connection under a read | if no part of its answer went out | attempts, budget, deadline |
-| connection under an unnamed write | never: it may have run | |
-| connection under a named write | if no part went out; the ledger settles it | budget, deadline |
-| a named write's commit is not confirmed | the same | budget, deadline |
-| connection of a transaction | never: what it read and wrote is lost | |
-| link to the home | see `after_link_loss` | deadline |
-| the proxy asked is home no longer | at the home that is known then | deadline |
-
-Only a request for another home pauses before it is sent again, for `HOME_RETRY_SECONDS`.
-
-Owns these rules and the budget of a home; the flows, `request_steps.py` and `network/front.py` ask.
-Times are in seconds of the asking proxy's monotonic clock.
+| nothing was sent | always: nothing ran; named writes within budget | deadline |
+| a replica refused a write | on the new primary: nothing ran | deadline |
+| connection lost in a read | if no part of the answer was delivered | attempts, budget, deadline |
+| connection lost in an unnamed write | never: it may have run | |
+| connection lost in a named write | if no part was delivered; see the ledger | budget, deadline |
+| commit of a named write not confirmed | as above | budget, deadline |
+| connection of a transaction lost | never: its reads and writes are lost | |
+| link to the home proxy lost | see `after_link_loss` | deadline |
+| the proxy is no longer the home | at the home known at that time | deadline |
+
+Only a request that is sent to a home proxy again is delayed first, by `HOME_RETRY_SECONDS`.
+
+Owns these rules and the retry budget of a home proxy; used by the flows, `request_steps.py` and
+`network/front.py`. Times are in seconds of the calling proxy's monotonic clock.
 """
 
 from __future__ import annotations
@@ -26,23 +26,24 @@
 from orchidwind.elected.core.statements import Outcome, RequestKind, StatementRequest
 from orchidwind.shared.core.errors import ErrorKind, RequestError
 
-# Bounds what one read costs while several instances fail one after the other.
+# Bounds the cost of one read while several instances fail in succession.
 READ_ATTEMPTS = 3
-# The pause before a request is sent to a home again. The request's deadline bounds the
-# waits; a new home is known some time after the old one has gone (docs/DECISIONS.md, "Urgent
+# The delay before a request is sent to a home proxy again. The request's deadline bounds the
+# retries; a new home becomes known some time after the old one is gone (docs/DECISIONS.md, "Urgent
 # membership news is pushed").
 HOME_RETRY_SECONDS = 0.05
-# A home repeats at most one statement for each ten requests, so that retries add a tenth to
-# an overload at most; a burst of twenty covers the statements that one lost instance interrupts.
+# A home proxy retries at most one statement per ten requests, so that retries add at most a tenth
+# to an overload; a burst of twenty covers the statements interrupted by the loss of one instance.
 _EARNED_A_REQUEST = 0.1
 _MOST_SAVED = 20.0
 
 
 class StatementLost(Exception):
-    """A connection broke, or the request was given up, while a statement ran.
+    """The connection broke, or the request was abandoned, while a statement ran.
 
-    `sent` tells whether a byte of it had left, `delivered` whether a part of its answer went on to
-    the caller; `reason` is set where the request was given up and the connection did not break.
+    `sent` tells whether any byte of the statement was sent, `delivered` whether any part of its
+    answer was passed on to the caller. `reason` is set if the request was abandoned while the
+    connection was intact.
     """
 
     def __init__(
@@ -56,7 +57,7 @@
 
 @unique
 class Retry(Enum):
-    """Whether something is tried again."""
+    """Whether a failed statement is retried."""
 
     NEVER = "never"
     ALWAYS = "always"
@@ -64,17 +65,17 @@
 
 
 class RetryBudget:
-    """A token bucket that requests fill and retries empty."""
+    """A token bucket that requests fill and retries drain."""
 
     def __init__(self) -> None:
         self._tokens = _MOST_SAVED
 
     def earn(self) -> None:
-        """A request came."""
+        """Credit the budget for a new request."""
         self._tokens = min(self._tokens + _EARNED_A_REQUEST, _MOST_SAVED)
 
     def take(self) -> bool:
-        """Whether a retry is allowed now."""
+        """Spend one token; returns False if the budget allows no retry now."""
         if self._tokens < 1.0:
             return False
         self._tokens -= 1.0
@@ -82,7 +83,7 @@
 
 
 def retry_read(lost: StatementLost, attempts: int) -> Retry:
-    """A read changes nothing; `attempts` were sent so far, the lost one among them."""
+    """The rule for a read, which changes nothing; `attempts` were sent, including the lost one."""
     if lost.reason is not None:
         return Retry.NEVER
     if not lost.sent:
@@ -93,35 +94,41 @@
 
 
 def retry_write(lost: StatementLost) -> Retry:
-    """A write without a name may have run once a byte of it had left."""
+    """The rule for an unnamed write: it may have run once any byte of it was sent."""
     return Retry.NEVER if lost.sent else Retry.ALWAYS
 
 
 def retry_named_write(lost: StatementLost) -> Retry:
-    """The next attempt finds the ledger row of one that ran; the caller must not have seen rows."""
+    """The rule for a named write: not retried if abandoned or if part of an answer was delivered.
+
+    If the lost attempt ran, the next attempt finds its ledger row.
+    """
     ended = lost.reason is not None or lost.delivered
     return Retry.NEVER if ended else Retry.WITHIN_BUDGET
 
 
 def retry_named_commit(error: RequestError, committing: bool, delivered: bool) -> Retry:
-    """A commit that was sent and not confirmed: the ledger of the next primary tells its fate."""
+    """The rule for a named write that failed with `error`: retried only if its commit is in doubt.
+
+    The next attempt finds in the ledger whether a commit that was not confirmed took effect.
+    """
     in_doubt = committing and error.kind is ErrorKind.OUTCOME_UNKNOWN
     return Retry.WITHIN_BUDGET if in_doubt and not delivered else Retry.NEVER
 
 
 def retry_home(now: float, expires_at: float) -> bool:
-    """Whether time is left to find a home and send the request once more."""
+    """Whether the deadline leaves time to find a home proxy and send the request again."""
     return now + HOME_RETRY_SECONDS < expires_at
 
 
 def after_link_loss(
     request: StatementRequest, *, sent: bool, delivered: bool, now: float
 ) -> Outcome | None:
-    """The outcome of a request whose link broke, None where it may be sent again.
+    """The outcome of a request whose link to the home proxy broke; None if it may be sent again.
 
-    `sent` tells whether the request had left, `delivered` whether a part of the answer had reached
-    the caller. A write that left is not sent again; a transaction died with its home, and unless a
-    commit was on its way nothing of it ran.
+    `sent` tells whether the request was sent, `delivered` whether any part of the answer reached
+    the caller. A write that was sent is not sent again. A transaction is lost with its home proxy;
+    unless a commit had been sent, none of it took effect.
     """
     error = _link_loss_error(request, sent=sent, delivered=delivered, now=now)
     return None if error is None else Outcome(request.number, error=error)
--- a/src/orchidwind/elected/core/routing.py
+++ b/src/orchidwind/elected/core/routing.py
@@ -1,6 +1,6 @@
-"""Chooses where a read runs: which replica, after what wait, or the primary.
+"""Chooses the instance for a read: a replica, with or without a wait for replay, or the primary.
 
-Owns the rule and its costs; relies on the reports in `group_view.py`. `view_waits.py` asks it.
+Owns the rule and its costs. Relies on the reports in `group_view.py`; used by `view_waits.py`.
 """
 
 from __future__ import annotations
@@ -14,22 +14,23 @@
 
 @dataclass(frozen=True, slots=True)
 class RoutingSettings:
-    """Bounds and costs of the choice, in seconds of expected wait."""
+    """Bounds and costs for choosing a route, in seconds of expected wait."""
 
-    # The default of `replica_wait_ms`; a read that would wait longer runs elsewhere.
+    # The default of `replica_wait_ms`; a read that would wait longer runs on another instance.
     longest_replica_wait: float = 0.1
-    # What a pool with one request for each connection counts for.
+    # Cost of a pool whose load is one request per connection.
     load_cost: float = 0.005
-    # What it counts to leave the instance of the session's last read, since that takes a
-    # status round first. Without it every third read of an indexed load took such a round.
+    # Cost of leaving the instance of the session's last read, which needs a status round first.
+    # Without this cost, every third read of an indexed load took such a round.
     switch_cost: float = 0.01
 
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Run on `instance`; where `must_wait` is set, only once its replay is seen to cover the floor.
+    """The instance on which to run a read.
 
-    An expected wait of zero does not say that the floor is covered: it is an estimate.
+    If `must_wait` is set, the read may start only after a report shows that the instance's replay
+    covers the floor: an expected wait of zero is only an estimate.
     """
 
     instance: str
@@ -46,10 +47,11 @@
     settings: RoutingSettings,
     preferred: str = "",
 ) -> Route | None:
-    """The replica expected to serve first, within the bound, else the primary, else None.
+    """The replica with the lowest cost within the wait bound, else the primary, else None.
 
-    `load` is the requests at each instance's pool, running or queued, divided by its connections;
-    an instance without an entry is not open to this home.
+    `load` is the number of running and queued requests of each instance's pool, divided by its
+    connections; this home proxy may not use an instance without an entry. `preferred` is the
+    instance of the session's last read.
     """
     best: Route | None = None
     best_cost = 0.0
--- a/src/orchidwind/elected/core/running_requests.py
+++ b/src/orchidwind/elected/core/running_requests.py
@@ -1,7 +1,7 @@
-"""The requests that run at a home: by number, and by the channel of the session that sent them.
+"""The requests running at a home proxy, by number and by the channel of their session.
 
-Owns the state of each request between two of its steps. Relies on one request a channel at a time.
-Times are in seconds of the home's monotonic clock.
+Owns the state of each request between two steps. Relies on one request per channel at a time.
+Times are in seconds of the home proxy's monotonic clock.
 """
 
 from __future__ import annotations
@@ -15,10 +15,10 @@
 
 @dataclass(slots=True)
 class RunningRequest:
-    """A request, its flow, and the step that it waits for since `waits_since`.
+    """A request, its flow, and the step it has been waiting for since `waits_since`.
 
-    `expires_at` begins as the request's own and is put off while a commit is being confirmed or a
-    statement runs on an instance that answers.
+    `expires_at` starts as the request's own deadline and is extended while a commit waits for
+    confirmation or a statement runs on a responsive instance.
     """
 
     request: StatementRequest
@@ -29,14 +29,14 @@
 
 
 class RunningRequests:
-    """All requests that have begun and not ended."""
+    """All requests that have begun and not yet ended."""
 
     def __init__(self) -> None:
         self._by_number: dict[int, RunningRequest] = {}
         self._by_channel: dict[ChannelKey, int] = {}
 
     def __iter__(self) -> Iterator[RunningRequest]:
-        """In the order of arrival; requests may begin and end during the iteration."""
+        """Iterate in order of arrival over a snapshot; requests may begin and end meanwhile."""
         return iter(list(self._by_number.values()))
 
     def __len__(self) -> int:
@@ -46,26 +46,26 @@
         return number in self._by_number
 
     def add(self, running: RunningRequest) -> None:
-        """A request begins."""
+        """Add a request that begins."""
         request = running.request
         self._by_number[request.number] = running
         self._by_channel[request.channel] = request.number
 
     def remove(self, request: StatementRequest) -> None:
-        """A request has ended; its channel may carry a newer one already."""
+        """Remove a request that has ended; its channel may already have a newer one."""
         self._by_number.pop(request.number, None)
         if self._by_channel.get(request.channel) == request.number:
             del self._by_channel[request.channel]
 
     def get(self, number: int | None) -> RunningRequest | None:
-        """The request of a number, None where it has ended or there is no number."""
+        """The request with a number; None if it has ended or `number` is None."""
         return None if number is None else self._by_number.get(number)
 
     def on_channel(self, channel: ChannelKey) -> RunningRequest | None:
-        """What runs for a session."""
+        """The running request of a session, None if there is none."""
         return self.get(self._by_channel.get(channel))
 
     def deadline(self) -> float:
-        """When the first of them expires, infinity where none runs."""
+        """When the next request expires, infinity if none runs."""
         expiries = (running.expires_at for running in self._by_number.values())
         return min(expiries, default=float("inf"))
--- a/src/orchidwind/elected/core/server_connections.py
+++ b/src/orchidwind/elected/core/server_connections.py
@@ -1,8 +1,9 @@
-"""The server connections of a home to all instances of a group.
+"""The server connections of a home proxy to all instances of a group.
 
-Owns a pool for each instance, which request runs on which connection, and the session settings that
-each connection carries. Relies on `shared/core/pool.py` for who is granted a connection and when
-one is opened or closed; what the driver has to do is appended to the group's effects.
+Owns a pool for each instance, which request runs on which connection, and the session settings
+applied to each connection. Relies on `shared/core/pool.py` for which request is granted a
+connection and when connections are opened or closed. Work for the driver is appended to the group's
+effects.
 """
 
 from __future__ import annotations
@@ -29,14 +30,14 @@
     """The requests that wait for a connection."""
 
     def granted(self, now: float, number: int, connection: int) -> bool:
-        """Pass a connection to a request; False where the request has ended."""
+        """Pass a connection to a request; returns False if the request has ended."""
 
     def refused(self, now: float, refusal: Refusal) -> None:
-        """The request named by the refusal's ticket gets no connection."""
+        """Fail the request with the refusal's ticket, which gets no connection."""
 
 
 class ServerConnections:
-    """Pools by instance, and what each connection is used for."""
+    """Pools by instance, and the use of each connection."""
 
     def __init__(
         self, shares: Mapping[str, int], effects: list[GroupEffect], waiters: ConnectionWaiters
@@ -52,40 +53,40 @@
         self._request_on: dict[int, int] = {}
         self._settings_of: dict[int, tuple[SessionSetting, ...]] = {}
 
-    # --- what is held -------------------------------------------------------------------------
+    # --- state --------------------------------------------------------------------------------
 
     @property
     def has_share(self) -> bool:
-        """Whether this home may hold a connection to any instance."""
+        """Whether this home proxy may hold a connection to any instance."""
         return any(pool.share > 0 for pool in self.pools.values())
 
     @property
     def queued(self) -> int:
-        """Requests that wait for a connection."""
+        """The number of requests that wait for a connection."""
         return sum(len(pool.queue) for pool in self.pools.values())
 
     @property
     def spare(self) -> int:
-        """Connections to each instance that nobody uses now."""
+        """The number of unused connections, at the instance with the fewest."""
         return min(pool.share - len(pool.busy) - len(pool.queue) for pool in self.pools.values())
 
     def loads(self) -> dict[str, float]:
-        """Requests that run or wait for each connection, by instance that has a share."""
+        """Running and waiting requests per connection, by instance with a share."""
         return {name: pool.load for name, pool in self.pools.items() if pool.share > 0}
 
     def instance_of(self, connection: int) -> str | None:
-        """The instance that a connection goes to, None where it is closed."""
+        """The instance that a connection goes to, None if it is closed."""
         return self._instance_of.get(connection)
 
     def deadline(self) -> float:
-        """When `tick` has something to do, infinity for never."""
+        """When `tick` is next needed, infinity if it is not."""
         times = (pool.deadline() for pool in self.pools.values())
         return min((time for time in times if time is not None), default=float("inf"))
 
     # --- use by requests ----------------------------------------------------------------------
 
     def acquire(self, now: float, request: StatementRequest, instance: str) -> int | None:
-        """A connection now, or None to wait for one; raises RequestError where it is refused."""
+        """A connection, or None if the request must wait; raises RequestError if it is refused."""
         effects = self.pools[instance].acquire(
             request.number, request.traffic_class, now, request.expires_at
         )
@@ -100,7 +101,7 @@
         return None
 
     def stop_waiting(self, number: int, instance: str) -> None:
-        """A request waits no longer for a connection to an instance."""
+        """Cancel a request's wait for a connection to an instance."""
         self.pools[instance].cancel(number)
 
     def run(self, number: int, step: Run) -> None:
@@ -112,11 +113,11 @@
         )
 
     def run_ended(self, connection: int) -> int | None:
-        """A statement has ended: the number of its request, None where nobody waits for it."""
+        """Record the end of a statement; returns its request's number, None if there is none."""
         return self._request_on.pop(connection, None)
 
     def release(self, now: float, connection: int, reusable: bool) -> None:
-        """A request gives a connection back; one that is not `reusable` is closed."""
+        """Return a connection to its pool; one that is not `reusable` is closed."""
         self._request_on.pop(connection, None)
         instance = self._instance_of.get(connection)
         if instance is not None:
@@ -125,7 +126,7 @@
     def apply_settings(
         self, connection: int, settings: tuple[SessionSetting, ...]
     ) -> Statement | None:
-        """The statement that gives a connection these settings, None where it has them."""
+        """The statement that applies settings to a connection, None if it already has them."""
         if self._settings_of.get(connection, ()) == settings:
             return None
         self._settings_of[connection] = settings
@@ -140,7 +141,7 @@
         self._apply(now, pool.opened(connection, now))
 
     def open_failed(self, now: float, connection: int, limit_met: bool) -> None:
-        """A connection could not be opened; `limit_met` is SQLSTATE 53300."""
+        """A connection could not be opened; `limit_met` stands for SQLSTATE 53300."""
         pool = self.pools[self._instance_of[connection]]
         self._apply(now, pool.open_failed(connection, now, limit_met))
 
@@ -159,7 +160,7 @@
                 self._apply(now, self.pools[instance].set_share(share, now))
 
     def tick(self, now: float) -> None:
-        """Refuse requests that waited too long, and open what is missing."""
+        """Refuse requests that waited too long, and open missing connections."""
         for pool in self.pools.values():
             self._apply(now, pool.tick(now))
 
--- a/src/orchidwind/elected/core/slot_leases.py
+++ b/src/orchidwind/elected/core/slot_leases.py
@@ -1,15 +1,16 @@
-"""Lends unused server connections between the homes of one database, on short fenced leases.
+"""Lends unused server connections between the home proxies of a database, on short fenced leases.
 
-Placement gives each home a fixed share of the connections. A home that is short asks the homes of
-other zones; one that has spare shares lends them for a few seconds. Safety rests on three things:
+Placement gives each home proxy a fixed share of the connections. A home that needs more asks the
+homes of other zones; a home with spare connections lends them for a few seconds. Safety rests on
+three rules:
 
-- the lender gives its connections up before it answers, and takes them back only after the lease
-  and a margin for clocks that run at different speeds;
-- the borrower counts the lease from the moment it asked, on its own monotonic clock, and looks at
-  that clock before each use, so a borrower that was paused finds the lease over when it wakes;
-- each lease carries a number that only rises; an answer with a lower one is dropped.
+- the lender gives up its connections before it answers, and reclaims them only after the lease plus
+  a margin for clocks that run at different speeds;
+- the borrower counts the lease from the time of its request, on its own monotonic clock, and checks
+  that clock before each use, so that a borrower that was paused finds its lease expired;
+- lease numbers only increase; an answer whose number is not higher than the last is dropped.
 
-The database's own connection limit has the last word in any case.
+The database's own connection limit holds in any case.
 """
 
 from __future__ import annotations
@@ -17,24 +18,24 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-# How long connections are lent for. A lender that gets callers of its own waits that long
-# for them, a borrower asks anew that often. What leases gain: docs/DECISIONS.md,
-# "Slots are lent between homes".
+# The duration of a lease. A lender that needs its connections back waits this long for them, and a
+# borrower renews this often. What leases gain: docs/DECISIONS.md, "Slots are lent between homes".
 SLOT_LEASE_SECONDS = 3.0
-# The lender waits this share of the lease longer. Bounds how much faster its clock may run;
-# without it the homes hold more connections than the database has (a test shows that).
+# The lender waits longer than the lease by this fraction of it, which bounds how much faster its
+# clock may run. Without it the homes hold more connections than the database has, as a test shows.
 _CLOCK_MARGIN = 0.2
-# A lender that had nothing to spare is asked again after this time.
+# The minimum time between two requests to a lender, so also the delay after a refusal.
 _ASK_LENDER_AGAIN_SECONDS = 0.5
-# One renewal may be lost, and repeated, before the lease ends.
+# Leaves time to repeat one lost renewal before the lease ends.
 _RENEW_BEFORE_SECONDS = 1.0
-# A home without any connection refuses its callers until the lease ends, which outlasts deadlines.
+# A home without connections would refuse its callers until the lease ends, which is later than
+# their deadlines.
 _CONNECTIONS_NEVER_LENT = 1
 
 
 @dataclass(frozen=True, slots=True)
 class AskLease:
-    """Ask a home for connections to each instance."""
+    """Ask the home `lender` for `wanted` connections to each instance."""
 
     lender: str
     wanted: int
@@ -42,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseAnswer:
-    """What a home lends: connections to each instance, for a time in seconds; 0 slots is a no."""
+    """Connections to each instance lent for `duration` seconds; a refusal has 0 slots."""
 
     slots: int
     number: int
@@ -57,10 +58,10 @@
 
 
 class SlotLeases:
-    """The leases of one database at one home, as lender and as borrower."""
+    """The leases of one database at one home proxy, as lender and as borrower."""
 
     def __init__(self, base_share: int, first_number: int = 0) -> None:
-        """`first_number` must be above all that this home gave before a restart."""
+        """`first_number` must exceed all lease numbers that this home issued before a restart."""
         self.base_share = base_share
         self._number = first_number
         self._lent: dict[str, _Lease] = {}
@@ -69,10 +70,10 @@
         self._asked_at: dict[str, float] = {}
 
     def share(self, now: float) -> int:
-        """Connections to each instance that this home may hold now.
+        """The connections to each instance that this home may hold now.
 
-        At least one while it is home: placement may lower the base below what is lent, and a home
-        without any would refuse its callers until the lease ends.
+        At least one while it is a home: placement may lower the base share below what is lent, and
+        a home without connections would refuse its callers until the lease ends.
         """
         self._drop_expired(now)
         lent = sum(lease.slots for lease in self._lent.values())
@@ -82,24 +83,25 @@
         return max(self.base_share - lent, _CONNECTIONS_NEVER_LENT) + borrowed
 
     def deadline(self) -> float:
-        """When the next lease ends."""
+        """When the next lease ends, infinity if there is none."""
         leases = [*self._lent.values(), *self._borrowed.values()]
         return min((lease.expires_at for lease in leases), default=float("inf"))
 
     # --- lender -------------------------------------------------------------------------------
 
     def on_ask(self, now: float, borrower: str, wanted: int, spare: int) -> LeaseAnswer:
-        """Lend what is spare, but keep one connection for callers of the own zone.
+        """Lend spare connections, keeping at least one for this home's own callers.
 
-        A borrower that asks again renews. A renewal never shrinks a lease, since its answer may be
-        lost: where there is less to lend, the renewal is refused and the lease runs out.
+        A request from a borrower that holds a lease is a renewal. A renewal never shrinks the
+        lease, since its answer may be lost: if there is less to lend, the renewal is refused and
+        the lease expires.
         """
         self._drop_expired(now)
         former = self._lent.get(borrower)
         former_slots = former.slots if former is not None else 0
         free = min(spare, self.base_share - self._lent_slots() - _CONNECTIONS_NEVER_LENT)
         if self._borrowed:
-            free = 0  # lending on what is borrowed would outlive the first lease
+            free = 0  # a sublease would outlive the lease it draws on
         slots = max(min(wanted, free + former_slots), 0)
         self._number += 1
         if slots == 0 or slots < former_slots:
@@ -114,7 +116,7 @@
     # --- borrower -----------------------------------------------------------------------------
 
     def asks(self, now: float, lenders: Sequence[str], wanted: int) -> list[AskLease]:
-        """Whom a home that is short asks now."""
+        """The requests that a home in need of connections sends now, at most one per lender."""
         self._drop_expired(now)
         asked = []
         for lender in lenders:
@@ -128,7 +130,7 @@
         return asked
 
     def on_answer(self, now: float, lender: str, answer: LeaseAnswer) -> None:
-        """Take a lease; it counts from the moment of asking, and only with a higher number."""
+        """Accept a lease, which counts from the time of the request; drops an outdated answer."""
         if answer.number <= self._highest_seen.get(lender, 0):
             return
         self._highest_seen[lender] = answer.number
--- a/src/orchidwind/elected/core/sql_text.py
+++ b/src/orchidwind/elected/core/sql_text.py
@@ -1,4 +1,4 @@
-"""Tokens and statements of a SQL text."""
+"""Splits SQL text into statements and tokens."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 
 def space_parameters(sql: str) -> str:
-    """Put a space behind each `$1`.
+    """Insert a space after each parameter such as `$1` that is directly followed by other text.
 
-    The tokenizer takes `$1,$` for the start of a dollar-quoted string, though PostgreSQL's tags
-    cannot begin with a digit.
+    Otherwise the tokenizer takes `$1,$` for the start of a dollar-quoted string, although the tag
+    of such a string cannot begin with a digit in PostgreSQL.
     """
     return _QUOTED_OR_PARAMETER.sub(_spaced, sql) if "$" in sql else sql
 
@@ -27,7 +27,7 @@
 
 
 def tokenize_statements(sql: str) -> list[list[Token]]:
-    """The tokens of each statement of a text; raises ValueError where it can't be tokenized."""
+    """The tokens of each statement of a text; raises ValueError if it cannot be tokenized."""
     try:
         tokens = Postgres().tokenize(space_parameters(sql))
     except TokenError as error:
@@ -42,6 +42,6 @@
 
 
 def may_commit(sql: str) -> bool:
-    """Whether a statement inside a transaction may commit it."""
+    """Whether the text, sent inside a transaction, may commit that transaction."""
     text = sql.lstrip().upper()
     return text.startswith(_COMMIT_WORDS) or ";" in text.rstrip("; \n")
--- a/src/orchidwind/elected/core/statements.py
+++ b/src/orchidwind/elected/core/statements.py
@@ -1,6 +1,6 @@
-"""Statements, requests and outcomes, as they pass between a caller's proxy and a home proxy.
+"""Statements, requests and outcomes, as they pass between a front proxy and a home proxy.
 
-Owns: the types alone. Relies on: the callers' edge for raw values, which pass through unread.
+Owns: only the types. Raw parameter values from callers are passed through without decoding.
 """
 
 from __future__ import annotations
@@ -33,8 +33,8 @@
 class Statement:
     """One statement to run.
 
-    `simple` marks the simple query protocol: several statements may stand in `sql`, there are no
-    parameters, and results are text.
+    `simple` selects the simple query protocol: `sql` may contain several statements, there are no
+    parameters, and results are in text format.
     """
 
     sql: str
@@ -55,7 +55,10 @@
 
 @unique
 class RequestKind(Enum):
-    """What a request asks of the home proxy. CONTROL ends or marks an open transaction."""
+    """What a request asks of the home proxy.
+
+    CONTROL is a COMMIT, ROLLBACK, savepoint or SET LOCAL statement in an open transaction.
+    """
 
     READ = "read"
     WRITE = "write"
@@ -70,8 +73,8 @@
 class FloorMode(Enum):
     """How the session's floor is known.
 
-    KNOWN: `floor` is all the session wrote and read. QUORUM: the session may have run elsewhere,
-    so the home asks a majority of the group.
+    KNOWN: the floor covers all that the session wrote and read. QUORUM: the session may have run on
+    other proxies, so the home proxy asks a majority of the group.
     """
 
     KNOWN = "known"
@@ -80,10 +83,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Floor:
-    """The least position that a read must see.
+    """The lowest log position that a read must see.
 
-    `last_read_instance` served the session's last read; its position then was not asked for, so a
-    read elsewhere first asks that instance.
+    `last_read_instance` served the session's last read, whose log position was not requested; a
+    read on another instance must first ask that instance for its position.
     """
 
     mode: FloorMode
@@ -93,7 +96,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ChannelKey:
-    """One caller's session as a home sees it: the proxy it comes through, and a number there."""
+    """Identifies a session at a home proxy: its front proxy, and a number at that proxy."""
 
     origin: str
     number: int
@@ -101,7 +104,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SessionSetting:
-    """A run-time parameter that the session set, replayed on each server connection it uses."""
+    """A run-time parameter set by a session, applied to each server connection that it uses."""
 
     name: str
     value: str
@@ -109,9 +112,9 @@
 
 @dataclass(frozen=True, slots=True)
 class StatementRequest:
-    """One request to a home. `expires_at` is in seconds of the home's monotonic clock.
+    """One request to a home proxy; `expires_at` is in seconds of its monotonic clock.
 
-    `request_id` names the request across repeats; empty where the caller did not name it.
+    `request_id` identifies a named request across repeats; it is empty for an unnamed request.
     """
 
     number: int
@@ -131,8 +134,8 @@
 class Outcome:
     """How a request ended.
 
-    `tag` is the last command tag, sent to the caller only now. `position` is what the session's
-    floor rises to; `instance` served it.
+    `tag` is the last command tag, which the caller gets only with the outcome. `position` is the
+    session's new floor if that is higher than its floor so far; `instance` served the request.
     """
 
     number: int
@@ -147,9 +150,9 @@
 
 @dataclass(slots=True)
 class RunResult:
-    """What a back end answered to one statement.
+    """An instance's answer to one statement.
 
-    `delivered` tells whether any part of the answer went on to the caller.
+    `delivered` tells whether any part of the answer was passed on to the caller.
     """
 
     tag: str = ""
--- a/src/orchidwind/elected/core/steps.py
+++ b/src/orchidwind/elected/core/steps.py
@@ -1,7 +1,7 @@
-"""The steps that a request's flow asks its driver for.
+"""The steps that a request's flow yields to its driver.
 
 For: `flows.py` and `named_write.py`, which yield them, and `request_steps.py`, which performs them.
-Owns: nothing but their types. Errors are thrown into the flow at the step that failed.
+Owns: only the types. An error is thrown into the flow at the step that failed.
 """
 
 from __future__ import annotations
@@ -30,14 +30,14 @@
 
 @dataclass(frozen=True, slots=True)
 class WaitForFloor:
-    """Ask a majority, and `include` if it can be reached; the result is a Position."""
+    """Ask a majority, and `include` if it is reachable, for the floor; the result is a Position."""
 
     include: str = ""
 
 
 @dataclass(frozen=True, slots=True)
 class WaitForReplay:
-    """Wait until an instance's replay covers a floor; the result is whether it did in time."""
+    """Wait until an instance's replay covers a floor; the result is True if it did in time."""
 
     instance: str
     floor: Position
@@ -47,8 +47,8 @@
 class WaitForConnection:
     """Wait for a server connection; the result is its number.
 
-    With `primary_term` the wait ends, by BackendConnectionLost, as soon as the instance is no
-    longer known as the primary of that term; in any case when it cannot be reached.
+    The wait ends with BackendConnectionLost if the instance becomes unreachable or, with
+    `primary_term`, if it is no longer known as the primary of that term.
     """
 
     instance: str
@@ -75,7 +75,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Release:
-    """Give a connection back; done at once."""
+    """Return a connection to its pool; done at once."""
 
     connection: int
     reusable: bool
@@ -83,7 +83,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ApplySettings:
-    """Ask which statement brings a connection to the session's settings, None for none."""
+    """Get the statement that applies the session's settings; the result is None if not needed."""
 
     connection: int
     settings: tuple[SessionSetting, ...]
@@ -101,19 +101,19 @@
 
 @dataclass(frozen=True, slots=True)
 class EndTransaction:
-    """The session's transaction is over; done at once."""
+    """Remove the session's transaction, which has ended; done at once."""
 
 
 @dataclass(frozen=True, slots=True)
 class Suspect:
-    """The instance is not what the view says; wait for its next report. Done at once."""
+    """Mark an instance that differs from the view as unreachable until it reports; done at once."""
 
     instance: str
 
 
 @dataclass(frozen=True, slots=True)
 class TakeRetry:
-    """Ask the retry budget; the result is a bool."""
+    """Take a token from the retry budget; the result is False if there is none."""
 
 
 Step = (
@@ -137,7 +137,7 @@
 
 @dataclass(slots=True)
 class OpenTransaction:
-    """A transaction of one session, and the connection that belongs to it."""
+    """A session's open transaction and the server connection bound to it."""
 
     connection: int
     instance: str
--- a/src/orchidwind/elected/core/view_waits.py
+++ b/src/orchidwind/elected/core/view_waits.py
@@ -1,8 +1,8 @@
-"""What the steps that wait for the group's view get from it: a primary, a route, a floor, replay.
+"""Answers the steps that wait for the group's view: for a primary, a route, a floor or replay.
 
-Owns the rules of when a read's floor counts as known and how long a replica's replay is waited for;
-which instance serves a read is chosen by `routing.py`. Relies on reports that `instance_reports.py`
-asks for. Times are in seconds of the home's monotonic clock.
+Owns the rules for when a read's floor is known and how long to wait for a replica's replay;
+`routing.py` chooses which instance serves a read. Relies on the reports that `instance_reports.py`
+requests. Times are in seconds of the home proxy's monotonic clock.
 """
 
 from __future__ import annotations
@@ -24,13 +24,13 @@
 )
 from orchidwind.shared.core.positions import Position
 
-# The least time between two queries about a replica that is expected to have replayed what
-# a read needs at any moment. Shorter asks the instance more often, longer delays the read.
+# The minimum time between two queries to a replica whose replay is expected to cover a read's floor
+# at any moment. A shorter time queries the instance more often, a longer one delays the read.
 REPLAY_CHECK_SECONDS = 0.003
 
 
 class ViewWaits:
-    """Answers the waits of requests from the view of their group."""
+    """Answers waiting requests from the view of their group."""
 
     def __init__(
         self,
@@ -45,7 +45,7 @@
         self._poller = poller
 
     def result(self, now: float, step: Step, since: float) -> StepResult:
-        """What the view says now to a step that waits since a time; None to wait on."""
+        """The result of a step that has waited since a time; None if it must keep waiting."""
         if isinstance(step, WaitForPrimary):
             return self._primary()
         if isinstance(step, WaitForRoute):
@@ -57,7 +57,7 @@
         return None
 
     def may_still_connect(self, step: WaitForConnection) -> bool:
-        """Whether a connection to this instance is still worth waiting for."""
+        """Whether the wait for a connection may go on; see `WaitForConnection`."""
         if step.instance in self._view.unreachable:
             return False
         if not step.primary_term:
@@ -79,7 +79,7 @@
         )
 
     def _floor(self, step: WaitForFloor, since: float) -> Position | None:
-        """The quorum's floor, with the report of one more instance where that can be reached."""
+        """The quorum's floor, once `step.include` has also reported if it is reachable."""
         included = self._view.reports.get(step.include)
         reachable = step.include and step.include not in self._view.unreachable
         if reachable and (included is None or included.asked_at < since):
@@ -88,7 +88,7 @@
         return self._view.quorum_floor(since, require_primary)
 
     def _replay(self, now: float, step: WaitForReplay, since: float) -> bool | None:
-        """Whether the replica covers the floor; False where it is away or the wait too long."""
+        """Whether replay covers the floor; False if it will not in time, None to keep waiting."""
         report = self._view.reports.get(step.instance)
         if report is None or step.instance in self._view.unreachable:
             return False
