--- a/src/orchidwind/elected/core/caller_session.py
+++ b/src/orchidwind/elected/core/caller_session.py
@@ -89,8 +89,8 @@
         self.settings: tuple[SessionSetting, ...] = ()
         self.transaction_status = TRANSACTION_IDLE
         self._request_id = ""
-        self._lost = False
-        self._failed_here = False
+        self._transaction_lost = False
+        self._failed_at_proxy = False
         for name, value in options.items():
             if name.startswith(_OWN_PREFIX):
                 self._set_own(name, value)
@@ -107,7 +107,7 @@
         kind = classification.kind
         if kind is StatementKind.NOT_SUPPORTED:
             raise RequestError(ErrorKind.NOT_SUPPORTED, classification.reason)
-        if self._lost or self._failed_here:
+        if self._transaction_lost or self._failed_at_proxy:
             return self._plan_after_failure(kind, text)
         local = self._plan_locally(classification)
         if local is not None:
@@ -126,17 +126,17 @@
                 return plan
         if kind not in (StatementKind.READ, StatementKind.WRITE, StatementKind.SHOW):
             return LocalAnswer("")
-        if self._lost or self._failed_here:
+        if self._transaction_lost or self._failed_at_proxy:
             raise _aborted()
         return Forward(RequestKind.DESCRIBE)
 
     def _plan_after_failure(self, kind: StatementKind, sql: str) -> Plan:
         """Accept only the end of a failed block; COMMIT then rolls back, as in PostgreSQL."""
-        if kind is StatementKind.SAVEPOINT and self._failed_here and _rolls_back(sql):
+        if kind is StatementKind.SAVEPOINT and self._failed_at_proxy and _rolls_back(sql):
             return Forward(RequestKind.CONTROL)
         if kind not in (StatementKind.COMMIT, StatementKind.ROLLBACK):
             raise _aborted()
-        if self._lost:
+        if self._transaction_lost:
             self._end_transaction()
             return LocalAnswer("ROLLBACK")
         return Forward(RequestKind.CONTROL, sql="ROLLBACK")
@@ -247,7 +247,7 @@
             return
         self.transaction_status = outcome.transaction_status
         if outcome.transaction_status == TRANSACTION_IDLE or error is None:
-            self._failed_here = False
+            self._failed_at_proxy = False
         self._raise_floor(outcome)
 
     def _raise_floor(self, outcome: Outcome) -> None:
@@ -262,18 +262,18 @@
 
     def lose_transaction(self) -> None:
         """Mark the transaction as lost; statements are refused until the block is ended."""
-        self._lost = True
+        self._transaction_lost = True
         self.transaction_status = TRANSACTION_FAILED
 
     def mark_failed(self) -> None:
         """Mark the open transaction as failed after an error that did not reach the home proxy."""
         if self.in_transaction and self.transaction_status != TRANSACTION_FAILED:
-            self._failed_here = True
+            self._failed_at_proxy = True
             self.transaction_status = TRANSACTION_FAILED
 
     def _end_transaction(self) -> None:
-        self._lost = False
-        self._failed_here = False
+        self._transaction_lost = False
+        self._failed_at_proxy = False
         self.transaction_status = TRANSACTION_IDLE
 
 
--- a/src/orchidwind/elected/core/classification.py
+++ b/src/orchidwind/elected/core/classification.py
@@ -75,7 +75,7 @@
 string_to_array cardinality bool_and bool_or every to_hex date timestamp varchar char numeric
 decimal int in exists any all some values filter over within
 """
-_FUNCTIONS_WITHOUT_EFFECT = frozenset(_FUNCTION_NAMES.split())
+_READ_ONLY_FUNCTIONS = frozenset(_FUNCTION_NAMES.split())
 _WRITE_KEYWORDS = frozenset(("INSERT", "UPDATE", "DELETE", "MERGE", "INTO", "TRUNCATE"))
 _LOCKING_WORDS = frozenset(("UPDATE", "SHARE", "NO", "KEY"))
 _READ_STARTS = frozenset(("SELECT", "WITH", "VALUES", "TABLE"))
@@ -96,7 +96,7 @@
         "pg_try_advisory_lock_shared",
     )
 )
-_NO_EFFECT_STARTS = frozenset(("UNLISTEN", "CLOSE", "DEALLOCATE"))
+_IGNORED_STARTS = frozenset(("UNLISTEN", "CLOSE", "DEALLOCATE"))
 _BEGIN_STARTS = frozenset(("BEGIN", "START"))
 _COMMIT_STARTS = frozenset(("COMMIT", "END"))
 _ROLLBACK_STARTS = frozenset(("ROLLBACK", "ABORT"))
@@ -195,7 +195,7 @@
         return Classification(StatementKind.SAVEPOINT if to_savepoint else StatementKind.ROLLBACK)
     if first in _SAVEPOINT_STARTS:
         return Classification(StatementKind.SAVEPOINT)
-    if first in _NO_EFFECT_STARTS:
+    if first in _IGNORED_STARTS:
         return Classification(StatementKind.RESET, name="none")
     return None
 
@@ -248,5 +248,5 @@
     if not calls:
         return False
     if token.token_type is TokenType.VAR or quoted:
-        return token.text.lower() not in _FUNCTIONS_WITHOUT_EFFECT
+        return token.text.lower() not in _READ_ONLY_FUNCTIONS
     return False
--- a/src/orchidwind/elected/core/commit_barrier.py
+++ b/src/orchidwind/elected/core/commit_barrier.py
@@ -72,7 +72,7 @@
         self._acknowledge = acknowledge
 
     @property
-    def oldest(self) -> float | None:
+    def oldest_committed_at(self) -> float | None:
         """`committed_at` of the longest-waiting commit, None if no commit waits."""
         return min((commit.committed_at for commit in self.pending.values()), default=None)
 
@@ -107,11 +107,11 @@
             return Superseded(commit.ticket)
         if commit.position is None:
             commit.position = own.received
-        if self._count(commit, commit.position) < self._view.majority:
+        if self._count_supporting(commit, commit.position) < self._view.majority:
             return None
         return Confirmed(commit.ticket, commit.position)
 
-    def _count(self, commit: PendingCommit, position: Position) -> int:
+    def _count_supporting(self, commit: PendingCommit, position: Position) -> int:
         return sum(
             1
             for report in self._view.fresh_reports(commit.committed_at)
--- a/src/orchidwind/elected/core/gossip.py
+++ b/src/orchidwind/elected/core/gossip.py
@@ -25,9 +25,9 @@
 
 
 @dataclass(slots=True)
-class _Spreading:
+class _QueuedUpdate:
     member: Member
-    times_left: int
+    sends_left: int
 
 
 class Gossip:
@@ -49,7 +49,7 @@
         self._random = generator
         self._settings = settings
         self._effects = effects
-        self._spreading: dict[str, _Spreading] = {}
+        self._queued: dict[str, _QueuedUpdate] = {}
 
     def spread(self, news: News | None) -> None:
         """Queue news for the next messages; urgent news is also announced at once.
@@ -60,18 +60,18 @@
         if news is None:
             return
         times = math.ceil(self._settings.spread_factor * math.log2(len(self._table.members) + 1))
-        self._spreading[news.member.name] = _Spreading(news.member, times)
+        self._queued[news.member.name] = _QueuedUpdate(news.member, times)
         if news.urgent:
             self.announce(() if news.member is self._table.own else (news.member,))
 
     def updates(self) -> tuple[Member, ...]:
         """The updates for the next message: the news that has been sent the fewest times."""
-        chosen = sorted(self._spreading.values(), key=lambda item: -item.times_left)
-        chosen = chosen[: self._settings.updates_a_message]
+        chosen = sorted(self._queued.values(), key=lambda item: -item.sends_left)
+        chosen = chosen[: self._settings.max_updates_per_message]
         for item in chosen:
-            item.times_left -= 1
-            if item.times_left <= 0:
-                del self._spreading[item.member.name]
+            item.sends_left -= 1
+            if item.sends_left <= 0:
+                del self._queued[item.member.name]
         return tuple(item.member for item in chosen)
 
     def announce(self, updates: tuple[Member, ...] = ()) -> None:
@@ -81,7 +81,7 @@
         for home proxies that were gone.
         """
         others = self._table.others()
-        count = min(self._settings.announce_fanout, len(others))
+        count = min(self._settings.urgent_fanout, len(others))
         for member in self._random.sample(others, count):
             self.inform(member, updates)
 
@@ -95,7 +95,7 @@
         for host, port in self.seeds:
             self.exchange_with(host, port, wants_answer=True)
 
-    def exchange_at_random(self, now: float) -> None:
+    def exchange_with_random_members(self, now: float) -> None:
         """Exchange lists with a random member and seed, or with all seeds if no member is known."""
         jitter = self._random.uniform(0.5, 1.5)
         self.next_exchange = now + self._settings.exchange_interval * jitter
@@ -116,7 +116,7 @@
         With `wants_answer` the first part asks for the recipient's list.
         """
         known = list(self._table.members.values())
-        part = self._settings.exchange_part
+        part = self._settings.members_per_datagram
         for start in range(0, len(known), part):
             message = Exchange(
                 self._table.own,
--- a/src/orchidwind/elected/core/group_view.py
+++ b/src/orchidwind/elected/core/group_view.py
@@ -17,7 +17,7 @@
 STALE_AFTER_SECONDS = 6.0
 # Number of log positions kept, one per report that showed a new position. For an older position
 # the time of the oldest sample is used, so a replica's delay is underestimated that far behind.
-_LOG_SAMPLES = 512
+_MAX_LOG_SAMPLES = 512
 
 
 @dataclass(frozen=True, slots=True)
@@ -55,13 +55,13 @@
     term: int
 
 
-class LogClock:
+class LogTimes:
     """Records when the log reached each position, to estimate the replay delay of replicas."""
 
     def __init__(self) -> None:
-        self._samples: deque[tuple[int, float]] = deque(maxlen=_LOG_SAMPLES)
+        self._samples: deque[tuple[int, float]] = deque(maxlen=_MAX_LOG_SAMPLES)
 
-    def note(self, lsn: int, at: float) -> None:
+    def record(self, lsn: int, at: float) -> None:
         """Record that the log had reached `lsn` at a time."""
         if not self._samples or lsn > self._samples[-1][0]:
             self._samples.append((lsn, at))
@@ -91,9 +91,9 @@
         self.unreachable: set[str] = set()
         self.leaving: set[str] = set()
         self.highest_term = 0
-        self.log_clock = LogClock()
+        self.log_times = LogTimes()
 
-    def take(self, report: InstanceReport) -> None:
+    def add_report(self, report: InstanceReport) -> None:
         """Store a report, unless a report requested later is already stored."""
         held = self.reports.get(report.instance)
         if held is not None and held.asked_at > report.asked_at:
@@ -101,9 +101,9 @@
         self.reports[report.instance] = report
         self.unreachable.discard(report.instance)
         self.highest_term = max(self.highest_term, report.term)
-        self.log_clock.note(report.received.lsn, report.answered_at)
+        self.log_times.record(report.received.lsn, report.answered_at)
 
-    def lose(self, instance: str) -> None:
+    def mark_unreachable(self, instance: str) -> None:
         """Mark an instance as unreachable until its next report."""
         self.unreachable.add(instance)
 
@@ -129,16 +129,16 @@
 
     def replay_delay(self, report: InstanceReport) -> float:
         """Seconds by which a replica's replay lags behind the log, zero if unknown."""
-        if report.replayed_lsn >= self.log_clock.end:
+        if report.replayed_lsn >= self.log_times.end:
             return 0.0
-        reached = self.log_clock.reached_at(report.replayed_lsn)
+        reached = self.log_times.reached_at(report.replayed_lsn)
         return 0.0 if reached is None else max(0.0, report.answered_at - reached)
 
     def expected_wait(self, report: InstanceReport, floor: Position, now: float) -> float:
         """Seconds until a replica's replay is expected to cover `floor`."""
         if report.replayed_covers(floor):
             return 0.0
-        reached = self.log_clock.reached_at(floor.lsn)
+        reached = self.log_times.reached_at(floor.lsn)
         delay = self.replay_delay(report)
         return delay if reached is None else max(0.0, reached + delay - now)
 
--- a/src/orchidwind/elected/core/home_group.py
+++ b/src/orchidwind/elected/core/home_group.py
@@ -31,7 +31,11 @@
     home_moved,
     transaction_gone,
 )
-from orchidwind.elected.core.request_steps import FIRST_WAITS, GroupParts, RequestSteps
+from orchidwind.elected.core.request_steps import (
+    WAITS_BEFORE_SENDING,
+    GroupComponents,
+    RequestSteps,
+)
 from orchidwind.elected.core.retries import RetryBudget
 from orchidwind.elected.core.running_requests import RunningRequest, RunningRequests
 from orchidwind.elected.core.server_connections import ServerConnections
@@ -67,7 +71,7 @@
         )
         self._retries = RetryBudget()
         self._steps = RequestSteps(
-            GroupParts(
+            GroupComponents(
                 self.barrier,
                 self.connections,
                 self.transactions,
@@ -86,8 +90,10 @@
         running = RunningRequest(request, flow, request.expires_at, waits_since=now)
         self.requests.add(running)
         if request.expires_at <= now:
-            return self._after(now, lambda: self._driver.throw(now, running, deadline_passed(None)))
-        return self._after(now, lambda: self._driver.advance(now, running, None))
+            return self._apply_change(
+                now, lambda: self._driver.throw(now, running, deadline_passed(None))
+            )
+        return self._apply_change(now, lambda: self._driver.advance(now, running, None))
 
     def cancel(self, now: float, channel: ChannelKey) -> list[GroupEffect]:
         """Cancel a caller's running request; a commit that was sent is not undone."""
@@ -99,11 +105,11 @@
         if isinstance(running.waits_for, steps.WaitForConfirmation):
             return []
         error = cancelled("canceling statement due to user request")
-        return self._after(now, lambda: self._driver.throw(now, running, error))
+        return self._apply_change(now, lambda: self._driver.throw(now, running, error))
 
     def close_channel(self, now: float, channel: ChannelKey) -> list[GroupEffect]:
         """Abandon the request and roll back the transaction of a caller that has disconnected."""
-        return self._after(now, lambda: self._close_channel(now, channel))
+        return self._apply_change(now, lambda: self._close_channel(now, channel))
 
     @property
     def idle(self) -> bool:
@@ -150,7 +156,7 @@
         """A server connection is ready."""
         if self.connections.instance_of(connection) is None:
             return [CloseConnection(connection)]
-        return self._after(now, lambda: self.connections.opened(now, connection))
+        return self._apply_change(now, lambda: self.connections.opened(now, connection))
 
     def connection_failed(self, now: float, connection: int, limit_met: bool) -> list[GroupEffect]:
         """A server connection could not be opened; `limit_met` stands for SQLSTATE 53300."""
@@ -163,20 +169,20 @@
                 self._status.suspect(now, instance)
             self.connections.open_failed(now, connection, limit_met)
 
-        return self._after(now, fail)
+        return self._apply_change(now, fail)
 
     def connection_lost(
         self, now: float, connection: int, lost: BackendConnectionLost
     ) -> list[GroupEffect]:
         """A server connection broke, while idle or during a statement."""
-        return self._after(now, lambda: self._lose(now, connection, lost))
+        return self._apply_change(now, lambda: self._lose(now, connection, lost))
 
     def run_finished(self, now: float, connection: int, result: RunResult) -> list[GroupEffect]:
         """A statement ended."""
         running = self.requests.get(self.connections.run_ended(connection))
         if running is None:
             return []
-        return self._after(now, lambda: self._driver.advance(now, running, result))
+        return self._apply_change(now, lambda: self._driver.advance(now, running, result))
 
     def set_shares(self, now: float, shares: Mapping[str, int]) -> list[GroupEffect]:
         """The number of connections that this home may hold has changed."""
@@ -184,21 +190,21 @@
         def change() -> None:
             self.connections.set_shares(now, shares)
             if not self.connections.has_share:
-                self._hand_back(now)
+                self._return_unsent(now)
 
-        return self._after(now, change)
+        return self._apply_change(now, change)
 
-    def _hand_back(self, now: float) -> None:
+    def _return_unsent(self, now: float) -> None:
         """End requests not yet sent to an instance, so that they go to the new home proxy."""
         for running in self.requests:
-            if isinstance(running.waits_for, FIRST_WAITS):
+            if isinstance(running.waits_for, WAITS_BEFORE_SENDING):
                 self._driver.throw(now, running, home_moved())
 
     def _lose(self, now: float, connection: int, lost: BackendConnectionLost) -> None:
         running = self.requests.get(self.connections.run_ended(connection))
         instance = self.connections.instance_of(connection)
         if instance is not None:
-            self._status.poller.want(now, now, [instance])
+            self._status.poller.schedule(now, now, [instance])
             self.connections.lost(now, connection)
         if running is not None and running.request.number in self.requests:
             self._driver.throw(now, running, lost)
@@ -210,21 +216,21 @@
     def report(self, now: float, report: InstanceReport) -> list[GroupEffect]:
         """An instance answered a status query."""
 
-        def take() -> None:
-            self._status.take(report)
+        def store() -> None:
+            self._status.add_report(report)
             self._apply_decisions(now, self.barrier.on_report(report))
-            self._recheck(now)
+            self._resume_waiting(now)
 
-        return self._after(now, take)
+        return self._apply_change(now, store)
 
     def poll_failed(self, now: float, instance: str) -> list[GroupEffect]:
         """A status query failed."""
 
         def fail() -> None:
             self._status.query_failed(now, instance)
-            self._recheck(now)
+            self._resume_waiting(now)
 
-        return self._after(now, fail)
+        return self._apply_change(now, fail)
 
     def reconfigure(
         self, now: float, options: GroupOptions, leaving: set[str]
@@ -232,7 +238,7 @@
         """Apply new options; `leaving` instances get no new requests and finish running ones."""
         self._waits.options = options
         self.view.leaving = leaving
-        return self._after(now, lambda: None)
+        return self._apply_change(now, lambda: None)
 
     def _apply_decisions(self, now: float, decisions: list[BarrierDecision]) -> None:
         for decision in decisions:
@@ -244,7 +250,7 @@
             else:
                 self._driver.throw(now, running, commit_superseded())
 
-    def _recheck(self, now: float) -> None:
+    def _resume_waiting(self, now: float) -> None:
         """Resume the flows whose wait the current view can answer."""
         for running in self.requests:
             step = running.waits_for
@@ -259,13 +265,13 @@
             if result is not None:
                 self._driver.advance(now, running, result)
             elif isinstance(step, steps.WaitForFloor):
-                self._status.poller.want(now, running.waits_since)
+                self._status.poller.schedule(now, running.waits_since)
 
     # --- time ---------------------------------------------------------------------------------
 
     def tick(self, now: float) -> list[GroupEffect]:
         """Process everything that is due at `now`."""
-        return self._after(now, lambda: self._tick(now))
+        return self._apply_change(now, lambda: self._tick(now))
 
     def deadline(self) -> float:
         """When `tick` is next needed."""
@@ -277,7 +283,7 @@
         )
 
     def _tick(self, now: float) -> None:
-        for instance in self._status.give_up_overdue(now):
+        for instance in self._status.expire_overdue(now):
             self._deadlines.abandon_reads(instance)
         for running in self._deadlines.expired(now):
             if not self._deadlines.extend(now, running):
@@ -286,12 +292,12 @@
         for channel in self.transactions.idle(now):
             if self.requests.on_channel(channel) is None:
                 self._close_channel(now, channel)
-        self._recheck(now)
+        self._resume_waiting(now)
 
-    def _after(self, now: float, change: Callable[[], None]) -> list[GroupEffect]:
+    def _apply_change(self, now: float, change: Callable[[], None]) -> list[GroupEffect]:
         """Apply a change, send the status queries that are due, and return all effects."""
         change()
-        self._status.ask_due(now, self.barrier)
+        self._status.send_due_queries(now, self.barrier)
         effects = list(self._effects)
         self._effects.clear()
         return effects
--- a/src/orchidwind/elected/core/instance_reports.py
+++ b/src/orchidwind/elected/core/instance_reports.py
@@ -27,35 +27,35 @@
         self._settings = settings
         self._effects = effects
 
-    def take(self, report: InstanceReport) -> None:
+    def add_report(self, report: InstanceReport) -> None:
         """Store the report of an instance that answered."""
         self.poller.answered(report.instance)
-        self._view.take(report)
+        self._view.add_report(report)
 
     def query_failed(self, now: float, instance: str) -> None:
         """A status query could not be sent, or its connection broke."""
         self.poller.answered(instance)
-        self.poller.want_at(instance, now + self._settings.searching_interval)
+        self.poller.schedule_at(instance, now + self._settings.searching_interval)
         self.suspect(now, instance)
 
     def suspect(self, now: float, instance: str) -> None:
         """Mark an instance as unreachable, and search for a primary."""
-        self._view.lose(instance)
+        self._view.mark_unreachable(instance)
         self.poller.search(now)
 
-    def give_up_overdue(self, now: float) -> Iterator[str]:
+    def expire_overdue(self, now: float) -> Iterator[str]:
         """Give up on overdue status queries; yields the instances, now marked as unreachable."""
         for instance in self.poller.overdue(now):
             self._effects.append(ResetObserver(instance))
             self.suspect(now, instance)
             yield instance
 
-    def ask_due(self, now: float, barrier: CommitBarrier) -> None:
+    def send_due_queries(self, now: float, barrier: CommitBarrier) -> None:
         """Send the queries that are due; earlier if no primary is known or commits wait."""
         if self._view.primary() is None:
             self.poller.search(now)
-        oldest = barrier.oldest
+        oldest = barrier.oldest_committed_at
         if oldest is not None:
-            self.poller.want(now, oldest)
-        for instance in self.poller.due(now):
+            self.poller.schedule(now, oldest)
+        for instance in self.poller.take_due(now):
             self._effects.append(PollInstance(instance, now))
--- a/src/orchidwind/elected/core/member_table.py
+++ b/src/orchidwind/elected/core/member_table.py
@@ -76,7 +76,7 @@
         """Reachable members except this node."""
         return [member for member in self.reachable() if member.name != self.own.name]
 
-    def take_changed(self) -> bool:
+    def pop_changed(self) -> bool:
         """Whether anything that affects placement or links has changed since the last call."""
         changed, self._changed = self._changed, False
         return changed
@@ -102,7 +102,7 @@
             outdated = from_itself and known.state != MemberState.ALIVE
             return News(known) if outdated else None
         self._put(now, member)
-        if known is None or _role_view(known) != _role_view(member):
+        if known is None or _placement_fields(known) != _placement_fields(member):
             self._changed = True
         return News(member, urgent=known is not None and _is_urgent(known, member))
 
@@ -164,7 +164,7 @@
     return gone != was_gone or refuted
 
 
-def _role_view(member: Member) -> tuple[bool, bool, str, int, str]:
+def _placement_fields(member: Member) -> tuple[bool, bool, str, int, str]:
     """The parts of an entry that placement and links depend on."""
     dead = member.state == MemberState.DEAD
     return dead, member.leaving, member.host, member.peer_port, member.zone
--- a/src/orchidwind/elected/core/membership.py
+++ b/src/orchidwind/elected/core/membership.py
@@ -116,11 +116,11 @@
             self._gossip.spread(news)
         self._table.forget_dead(now)
         self._prober.expire_relayed(now)
-        self._prober.ask_others_if_due(now)
+        self._prober.probe_indirectly_if_due(now)
         if now >= self._prober.next_probe:
             self._begin_period(now)
         if now >= self._gossip.next_exchange:
-            self._gossip.exchange_at_random(now)
+            self._gossip.exchange_with_random_members(now)
         return self._take_effects()
 
     def deadline(self) -> float:
@@ -130,7 +130,7 @@
     def _begin_period(self, now: float) -> None:
         """Suspect the member that did not answer in the last period, and probe the next one."""
         self._prober.next_probe = now + self._settings.period
-        unanswered = self._prober.take_unanswered()
+        unanswered = self._prober.pop_unanswered()
         if unanswered is not None:
             self._suspect(now, unanswered)
         self._prober.probe_next(now)
@@ -146,7 +146,7 @@
         self._gossip.inform(member, (suspected,))
 
     def _take_effects(self) -> list[MembershipEffect]:
-        if self._table.take_changed():
+        if self._table.pop_changed():
             self._effects.append(ViewChanged())
         effects = list(self._effects)
         self._effects.clear()
--- a/src/orchidwind/elected/core/membership_settings.py
+++ b/src/orchidwind/elected/core/membership_settings.py
@@ -20,15 +20,15 @@
     suspicion_periods: float = 2.0
     # A probe with 8 updates takes 533 bytes (encoded with names of 15 characters), well below the
     # 1,472 bytes of an unfragmented datagram.
-    updates_a_message: int = 8
+    max_updates_per_message: int = 8
     # As in SWIM: each update is sent on this many messages times the binary logarithm of the number
     # of members, so that the probability of reaching all does not fall as members are added.
     spread_factor: float = 3.0
     # Repairs differences left by lost datagrams. Traffic is proportional to members / interval.
     exchange_interval: float = 30.0
     # Members per datagram when the full list is sent; 16 take 992 bytes, encoded as above.
-    exchange_part: int = 16
+    members_per_datagram: int = 16
     # Longer than old news of a dead member can circulate, so that it is not taken for new.
     forget_dead_after: float = 120.0
     # Number of members to which urgent news is sent at once.
-    announce_fanout: int = 4
+    urgent_fanout: int = 4
--- a/src/orchidwind/elected/core/named_write.py
+++ b/src/orchidwind/elected/core/named_write.py
@@ -107,13 +107,13 @@
         yield Release(connection, reusable=False)
         yield Suspect(primary.instance)
         raise StatementLost(sent=False)
-    yield from _stop_on_error(connection, claim)
+    yield from _raise_on_error(connection, claim)
     if claim.tag.endswith(" 0"):
         attempt.committing = True
         return (yield from _recorded_tag(request, connection))
     result = yield from run(connection, request.statement, deliver=True)
     attempt.delivered = result.delivered
-    yield from _stop_on_error(connection, result)
+    yield from _raise_on_error(connection, result)
     attempt.committing = True
     completed = yield from run(connection, complete_statement(request.request_id, result.tag))
     yield Release(connection, reusable=completed.transaction_status == TRANSACTION_IDLE)
@@ -122,7 +122,7 @@
     return result.tag
 
 
-def _stop_on_error(connection: int, result: RunResult) -> Generator[Step, StepResult, None]:
+def _raise_on_error(connection: int, result: RunResult) -> Generator[Step, StepResult, None]:
     """Raise the error of a failed statement; the connection is closed, which rolls back."""
     if result.error is not None:
         yield Release(connection, reusable=False)
--- a/src/orchidwind/elected/core/polling.py
+++ b/src/orchidwind/elected/core/polling.py
@@ -15,9 +15,9 @@
 
 # While requests wait, the time between two rounds is this fraction of the age of the oldest wait,
 # within the two bounds, so that the queries of a wait grow with the logarithm of its length.
-_GAP_SHARE_OF_AGE = 0.1
-_SHORTEST_GAP_SECONDS = 0.001
-_WIDEST_GAP_SECONDS = 0.025
+_GAP_FRACTION_OF_AGE = 0.1
+_MIN_GAP_SECONDS = 0.001
+_MAX_GAP_SECONDS = 0.025
 
 
 @dataclass(frozen=True, slots=True)
@@ -34,7 +34,7 @@
 
 
 @dataclass(slots=True)
-class _Observed:
+class _QueryState:
     asked_at: float | None = None
     last_asked_at: float = float("-inf")
     next_at: float = 0.0
@@ -45,62 +45,60 @@
 
     def __init__(self, instances: Sequence[str], settings: PollingSettings) -> None:
         self._settings = settings
-        self._observed = {instance: _Observed() for instance in instances}
+        self._states = {instance: _QueryState() for instance in instances}
 
-    def want(self, now: float, oldest: float, instances: Sequence[str] | None = None) -> None:
+    def schedule(self, now: float, oldest: float, instances: Sequence[str] | None = None) -> None:
         """Schedule queries at or after `now`, for requests that have waited since `oldest`.
 
         Queries all instances unless `instances` is given.
         """
-        gap = (now - oldest) * _GAP_SHARE_OF_AGE
-        gap = min(max(gap, _SHORTEST_GAP_SECONDS), _WIDEST_GAP_SECONDS)
-        for instance in instances if instances is not None else self._observed:
-            observed = self._observed[instance]
-            due = max(now, observed.last_asked_at + gap)
-            observed.next_at = min(observed.next_at, due)
-
-    def want_at(self, instance: str, at: float) -> None:
+        gap = (now - oldest) * _GAP_FRACTION_OF_AGE
+        gap = min(max(gap, _MIN_GAP_SECONDS), _MAX_GAP_SECONDS)
+        for instance in instances if instances is not None else self._states:
+            state = self._states[instance]
+            due = max(now, state.last_asked_at + gap)
+            state.next_at = min(state.next_at, due)
+
+    def schedule_at(self, instance: str, at: float) -> None:
         """Schedule a report of one instance at a time, or earlier."""
-        observed = self._observed[instance]
-        observed.next_at = min(observed.next_at, at)
+        state = self._states[instance]
+        state.next_at = min(state.next_at, at)
 
-    def due(self, now: float) -> list[str]:
+    def take_due(self, now: float) -> list[str]:
         """Return the instances to query now, and record them as queried."""
         asked = []
-        for instance, observed in self._observed.items():
-            if observed.asked_at is None and now >= observed.next_at:
-                observed.asked_at = now
-                observed.last_asked_at = now
-                observed.next_at = now + self._settings.idle_interval
+        for instance, state in self._states.items():
+            if state.asked_at is None and now >= state.next_at:
+                state.asked_at = now
+                state.last_asked_at = now
+                state.next_at = now + self._settings.idle_interval
                 asked.append(instance)
         return asked
 
     def answered(self, instance: str) -> None:
         """Record that a query was answered or failed."""
-        self._observed[instance].asked_at = None
+        self._states[instance].asked_at = None
 
     def search(self, now: float) -> None:
         """Query all instances at the searching interval, since no primary is known."""
-        for observed in self._observed.values():
-            observed.next_at = min(
-                observed.next_at, observed.last_asked_at + self._settings.searching_interval
+        for state in self._states.values():
+            state.next_at = min(
+                state.next_at, state.last_asked_at + self._settings.searching_interval
             )
 
     def overdue(self, now: float) -> list[str]:
         """Return the instances that did not answer in time; they may be queried again."""
         late = []
-        for instance, observed in self._observed.items():
-            if observed.asked_at is not None and now >= observed.asked_at + self._settings.timeout:
-                observed.asked_at = None
-                observed.next_at = now + self._settings.searching_interval
+        for instance, state in self._states.items():
+            if state.asked_at is not None and now >= state.asked_at + self._settings.timeout:
+                state.asked_at = None
+                state.next_at = now + self._settings.searching_interval
                 late.append(instance)
         return late
 
     def deadline(self) -> float:
         """When the next query is due or the next timeout expires."""
         return min(
-            observed.next_at
-            if observed.asked_at is None
-            else observed.asked_at + self._settings.timeout
-            for observed in self._observed.values()
+            state.next_at if state.asked_at is None else state.asked_at + self._settings.timeout
+            for state in self._states.values()
         )
--- a/src/orchidwind/elected/core/probing.py
+++ b/src/orchidwind/elected/core/probing.py
@@ -21,7 +21,7 @@
 class _OwnProbe:
     target: str
     sequence: int
-    answer_due: float
+    answer_due_at: float
     indirect: bool = False
 
 
@@ -61,27 +61,27 @@
         probe = self._own_probe
         if probe is None or probe.indirect:
             return self.next_probe
-        return min(self.next_probe, probe.answer_due)
+        return min(self.next_probe, probe.answer_due_at)
 
-    def ask_others_if_due(self, now: float) -> None:
+    def probe_indirectly_if_due(self, now: float) -> None:
         """Start indirect probes if the target has not answered the direct probe in time."""
         probe = self._own_probe
-        if probe is not None and not probe.indirect and now >= probe.answer_due:
+        if probe is not None and not probe.indirect and now >= probe.answer_due_at:
             self._probe_indirectly(probe)
 
-    def take_unanswered(self) -> str | None:
+    def pop_unanswered(self) -> str | None:
         """End the probe of the last period; the member that did not answer it, if any."""
         probe, self._own_probe = self._own_probe, None
         return None if probe is None else probe.target
 
     def probe_next(self, now: float) -> None:
         """Begin the probe of this period."""
-        target = self._draw_target()
+        target = self._next_target()
         if target is None:
             return
         self._sequence += 1
-        answer_due = now + self._settings.answer_timeout
-        self._own_probe = _OwnProbe(target.name, self._sequence, answer_due)
+        answer_due_at = now + self._settings.answer_timeout
+        self._own_probe = _OwnProbe(target.name, self._sequence, answer_due_at)
         self._gossip.send(target, self._probe(self._sequence, ""))
 
     def on_probe(self, probe: Probe) -> None:
@@ -117,7 +117,7 @@
             if now >= relayed.expires_at:
                 del self._relayed[sequence]
 
-    def _draw_target(self) -> Member | None:
+    def _next_target(self) -> Member | None:
         """The next member to probe, None if there is no other live member.
 
         Members are probed in a random order that is reshuffled after each round, which bounds the
--- a/src/orchidwind/elected/core/request_steps.py
+++ b/src/orchidwind/elected/core/request_steps.py
@@ -1,6 +1,6 @@
 """Carries out the steps of requests at a home proxy through the components of its group.
 
-Owns no state. Relies on the components in `GroupParts`, which `home_group.py` creates.
+Owns no state. Relies on the components in `GroupComponents`, which `home_group.py` creates.
 """
 
 from __future__ import annotations
@@ -20,11 +20,11 @@
 from orchidwind.elected.core.view_waits import ViewWaits
 
 # The steps in which a request waits before any of it is sent to an instance.
-FIRST_WAITS = (steps.WaitForPrimary, steps.WaitForRoute, steps.WaitForConnection)
+WAITS_BEFORE_SENDING = (steps.WaitForPrimary, steps.WaitForRoute, steps.WaitForConnection)
 
 
 @dataclass(frozen=True, slots=True)
-class GroupParts:
+class GroupComponents:
     """The components of a group that steps use."""
 
     barrier: CommitBarrier
@@ -38,17 +38,17 @@
 class RequestSteps:
     """Starts each step; a step that is not done at once is completed by a later event."""
 
-    def __init__(self, parts: GroupParts) -> None:
-        self._parts = parts
+    def __init__(self, components: GroupComponents) -> None:
+        self._components = components
 
     def perform(self, now: float, running: RunningRequest, step: Step) -> StepDone | None:
         """Carry out a step, or start it and return None; raises RequestError."""
-        if isinstance(step, FIRST_WAITS) and not self._parts.connections.has_share:
+        if isinstance(step, WAITS_BEFORE_SENDING) and not self._components.connections.has_share:
             raise home_moved()
         if isinstance(step, steps.WaitForConnection):
             return self._connect(now, running, step)
         if isinstance(step, steps.Run):
-            self._parts.connections.run(running.request.number, step)
+            self._components.connections.run(running.request.number, step)
             return None
         if isinstance(step, steps.WaitForConfirmation):
             self._confirm(now, running, step)
@@ -60,27 +60,29 @@
         """Cancel the wait for the step `running.waits_for`."""
         number = running.request.number
         if isinstance(running.waits_for, steps.WaitForConnection):
-            self._parts.connections.stop_waiting(number, running.waits_for.instance)
-        self._parts.barrier.drop(number)
+            self._components.connections.stop_waiting(number, running.waits_for.instance)
+        self._components.barrier.drop(number)
 
     def _perform_at_once(self, now: float, running: RunningRequest, step: Step) -> StepDone | None:
         """Carry out a step that never waits; returns None for any other step."""
-        parts = self._parts
+        components = self._components
         channel = running.request.channel
         match step:
             case steps.Release():
-                parts.connections.release(now, step.connection, step.reusable)
+                components.connections.release(now, step.connection, step.reusable)
             case steps.ApplySettings():
-                return StepDone(parts.connections.apply_settings(step.connection, step.settings))
+                return StepDone(
+                    components.connections.apply_settings(step.connection, step.settings)
+                )
             case steps.Suspect():
-                parts.status.suspect(now, step.instance)
-                parts.status.poller.want(now, now, [step.instance])
+                components.status.suspect(now, step.instance)
+                components.status.poller.schedule(now, now, [step.instance])
             case steps.TakeRetry():
-                return StepDone(parts.retries.take())
+                return StepDone(components.retries.try_take())
             case steps.BindTransaction():
-                parts.transactions.bind(now, channel, step)
+                components.transactions.bind(now, channel, step)
             case steps.EndTransaction():
-                parts.transactions.end(channel)
+                components.transactions.end(channel)
             case _:
                 return None
         return StepDone()
@@ -89,7 +91,7 @@
         self, now: float, running: RunningRequest, step: steps.WaitForConnection
     ) -> StepDone | None:
         running.waits_for = step
-        connection = self._parts.connections.acquire(now, running.request, step.instance)
+        connection = self._components.connections.acquire(now, running.request, step.instance)
         return None if connection is None else StepDone(connection)
 
     def _confirm(
@@ -97,14 +99,14 @@
     ) -> None:
         running.expires_at = max(running.expires_at, now + CONFIRM_SECONDS)
         commit = PendingCommit(running.request.number, step.instance, step.term, now)
-        if self._parts.barrier.add(commit):
+        if self._components.barrier.add(commit):
             raise commit_superseded()
-        self._parts.status.poller.want(now, now)
+        self._components.status.poller.schedule(now, now)
 
     def _wait_for_view(self, now: float, step: Step) -> StepDone | None:
-        result = self._parts.waits.result(now, step, since=now)
+        result = self._components.waits.result(now, step, since=now)
         if result is not None:
             return StepDone(result)
         if isinstance(step, steps.WaitForFloor):
-            self._parts.status.poller.want(now, now)
+            self._components.status.poller.schedule(now, now)
         return None
--- a/src/orchidwind/elected/core/retries.py
+++ b/src/orchidwind/elected/core/retries.py
@@ -34,8 +34,8 @@
 HOME_RETRY_SECONDS = 0.05
 # A home proxy retries at most one statement per ten requests, so that retries add at most a tenth
 # to an overload; a burst of twenty covers the statements interrupted by the loss of one instance.
-_EARNED_A_REQUEST = 0.1
-_MOST_SAVED = 20.0
+_TOKENS_PER_REQUEST = 0.1
+_MAX_TOKENS = 20.0
 
 
 class StatementLost(Exception):
@@ -68,13 +68,13 @@
     """A token bucket that requests fill and retries drain."""
 
     def __init__(self) -> None:
-        self._tokens = _MOST_SAVED
+        self._tokens = _MAX_TOKENS
 
     def earn(self) -> None:
         """Credit the budget for a new request."""
-        self._tokens = min(self._tokens + _EARNED_A_REQUEST, _MOST_SAVED)
+        self._tokens = min(self._tokens + _TOKENS_PER_REQUEST, _MAX_TOKENS)
 
-    def take(self) -> bool:
+    def try_take(self) -> bool:
         """Spend one token; returns False if the budget allows no retry now."""
         if self._tokens < 1.0:
             return False
--- a/src/orchidwind/elected/core/slot_leases.py
+++ b/src/orchidwind/elected/core/slot_leases.py
@@ -25,12 +25,12 @@
 # clock may run. Without it the homes hold more connections than the database has, as a test shows.
 _CLOCK_MARGIN = 0.2
 # The minimum time between two requests to a lender, so also the delay after a refusal.
-_ASK_LENDER_AGAIN_SECONDS = 0.5
+_REQUEST_INTERVAL_SECONDS = 0.5
 # Leaves time to repeat one lost renewal before the lease ends.
 _RENEW_BEFORE_SECONDS = 1.0
 # A home without connections would refuse its callers until the lease ends, which is later than
 # their deadlines.
-_CONNECTIONS_NEVER_LENT = 1
+_MIN_OWN_CONNECTIONS = 1
 
 
 @dataclass(frozen=True, slots=True)
@@ -67,7 +67,7 @@
         self._lent: dict[str, _Lease] = {}
         self._borrowed: dict[str, _Lease] = {}
         self._highest_seen: dict[str, int] = {}
-        self._asked_at: dict[str, float] = {}
+        self._requested_at: dict[str, float] = {}
 
     def share(self, now: float) -> int:
         """The connections to each instance that this home may hold now.
@@ -80,7 +80,7 @@
         borrowed = sum(lease.slots for lease in self._borrowed.values())
         if self.base_share == 0:
             return 0
-        return max(self.base_share - lent, _CONNECTIONS_NEVER_LENT) + borrowed
+        return max(self.base_share - lent, _MIN_OWN_CONNECTIONS) + borrowed
 
     def deadline(self) -> float:
         """When the next lease ends, infinity if there is none."""
@@ -99,7 +99,7 @@
         self._drop_expired(now)
         former = self._lent.get(borrower)
         former_slots = former.slots if former is not None else 0
-        free = min(spare, self.base_share - self._lent_slots() - _CONNECTIONS_NEVER_LENT)
+        free = min(spare, self.base_share - self._lent_slots() - _MIN_OWN_CONNECTIONS)
         if self._borrowed:
             free = 0  # a sublease would outlive the lease it draws on
         slots = max(min(wanted, free + former_slots), 0)
@@ -123,9 +123,9 @@
             held = self._borrowed.get(lender)
             if held is not None and held.expires_at - now > _RENEW_BEFORE_SECONDS:
                 continue
-            if now - self._asked_at.get(lender, float("-inf")) < _ASK_LENDER_AGAIN_SECONDS:
+            if now - self._requested_at.get(lender, float("-inf")) < _REQUEST_INTERVAL_SECONDS:
                 continue
-            self._asked_at[lender] = now
+            self._requested_at[lender] = now
             asked.append(AskLease(lender, wanted))
         return asked
 
@@ -135,7 +135,7 @@
             return
         self._highest_seen[lender] = answer.number
         self._borrowed.pop(lender, None)
-        expires_at = self._asked_at.get(lender, now - answer.duration) + answer.duration
+        expires_at = self._requested_at.get(lender, now - answer.duration) + answer.duration
         if answer.slots > 0 and expires_at > now:
             self._borrowed[lender] = _Lease(answer.slots, answer.number, expires_at)
 
--- a/src/orchidwind/elected/core/sql_text.py
+++ b/src/orchidwind/elected/core/sql_text.py
@@ -18,10 +18,10 @@
     Otherwise the tokenizer takes `$1,$` for the start of a dollar-quoted string, although the tag
     of such a string cannot begin with a digit in PostgreSQL.
     """
-    return _QUOTED_OR_PARAMETER.sub(_spaced, sql) if "$" in sql else sql
+    return _QUOTED_OR_PARAMETER.sub(_append_space, sql) if "$" in sql else sql
 
 
-def _spaced(match: re.Match[str]) -> str:
+def _append_space(match: re.Match[str]) -> str:
     text = match.group()
     return f"{text} " if text.startswith("$") else text
 
--- a/src/orchidwind/elected/core/view_waits.py
+++ b/src/orchidwind/elected/core/view_waits.py
@@ -97,5 +97,5 @@
         if now - since >= self.options.routing.longest_replica_wait:
             return False
         wait = self._view.expected_wait(report, step.floor, now)
-        self._poller.want_at(step.instance, now + max(wait, REPLAY_CHECK_SECONDS))
+        self._poller.schedule_at(step.instance, now + max(wait, REPLAY_CHECK_SECONDS))
         return None
