--- a/src/orchidwind/elected/core/home_group.py
+++ b/src/orchidwind/elected/core/home_group.py
@@ -96,7 +96,7 @@
         return self._apply_change(now, lambda: self._driver.advance(now, running, None))
 
     def cancel(self, now: float, channel: ChannelKey) -> list[GroupEffect]:
-        """Cancel a caller's running request; a commit that was sent is not undone."""
+        """Cancel a session's running request; a commit that was sent is not undone."""
         running = self.requests.on_channel(channel)
         if running is None:
             return []
--- a/src/orchidwind/elected/core/membership.py
+++ b/src/orchidwind/elected/core/membership.py
@@ -74,7 +74,7 @@
         return self._take_effects()
 
     def add_seeds(self, seeds: Iterable[tuple[str, int]]) -> list[MembershipEffect]:
-        """Ask those addresses for their lists that belong to no known member."""
+        """Ask the addresses that belong to no known member for their member lists."""
         known = {(member.host, member.gossip_port) for member in self.members.values()}
         for address in seeds:
             if address not in known:
--- a/src/orchidwind/elected/core/membership_settings.py
+++ b/src/orchidwind/elected/core/membership_settings.py
@@ -28,7 +28,7 @@
     exchange_interval: float = 30.0
     # Members per datagram when the full list is sent; 16 take 992 bytes, encoded as above.
     members_per_datagram: int = 16
-    # Longer than old news of a dead member can circulate, so that it is not taken for new.
+    # Longer than old news of a dead member can circulate, so that such news is not taken for new.
     forget_dead_after: float = 120.0
     # Number of members to which urgent news is sent at once.
     urgent_fanout: int = 4
--- a/src/orchidwind/elected/core/slot_leases.py
+++ b/src/orchidwind/elected/core/slot_leases.py
@@ -18,8 +18,8 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-# The duration of a lease. A lender that needs its connections back waits this long for them, and a
-# borrower renews this often. What leases gain: docs/DECISIONS.md, "Slots are lent between homes".
+# The duration of a lease. A lender that needs its connections back waits this long, and a borrower
+# renews about as often. What leases gain: docs/DECISIONS.md, "Slots are lent between homes".
 SLOT_LEASE_SECONDS = 3.0
 # The lender waits longer than the lease by this fraction of it, which bounds how much faster its
 # clock may run. Without it the homes hold more connections than the database has, as a test shows.
