--- a/src/orchidwind/elected/network/link_server.py
+++ b/src/orchidwind/elected/network/link_server.py
@@ -36,7 +36,7 @@
 
     async def handle_stream(self, stream: IOStream, address: tuple[str, int]) -> None:
         """Serve one link until it closes."""
-        watchful(stream.socket)
+        configure_socket(stream.socket)
         self._streams.add(stream)
         session = LinkSession(
             stream, self._homes, self._configuration, next(self._serials), self._on_hello
--- a/src/orchidwind/elected/network/peer_link.py
+++ b/src/orchidwind/elected/network/peer_link.py
@@ -76,7 +76,7 @@
                     )
             except (OSError, StreamClosedError, TimeoutError) as error:
                 raise PeerUnavailable(str(error) or "no connection", sent=False) from error
-            watchful(stream.socket)
+            configure_socket(stream.socket)
             stream.write(codec.encode_frame(codec.Hello(self._own_name)))
             self._stream = stream
             self._silence = LinkSilenceTimer(self._silence_actions(stream))
--- a/src/orchidwind/elected/postgres/listener.py
+++ b/src/orchidwind/elected/postgres/listener.py
@@ -38,7 +38,7 @@
 
     async def handle_stream(self, stream: IOStream, address: tuple[str, int]) -> None:
         """Serve one connection until it closes."""
-        watchful(stream.socket)
+        configure_socket(stream.socket)
         if len(self.sessions) >= self.maximum_connections:
             error = RequestError(ErrorKind.TOO_MANY_CALLERS, "too many connections to this proxy")
             self._on_error(error)
