--- a/src/orchidwind/elected/core/configuration_history.py
+++ b/src/orchidwind/elected/core/configuration_history.py
@@ -34,7 +34,7 @@
 FETCH_SECONDS = 2.0
 
 
-class FetchTurn:
+class FetchLimiter:
     """Allows one configuration fetch at a time: concurrent fetches would share the same link.
 
     Times are in seconds of the monotonic clock.
--- a/src/orchidwind/elected/core/routing.py
+++ b/src/orchidwind/elected/core/routing.py
@@ -17,7 +17,7 @@
     """Bounds and costs for choosing a route, in seconds of expected wait."""
 
     # The default of `replica_wait_ms`; a read that would wait longer runs on another instance.
-    longest_replica_wait: float = 0.1
+    max_replica_wait: float = 0.1
     # Cost of a pool whose load is one request per connection.
     load_cost: float = 0.005
     # Cost of leaving the instance of the session's last read, which needs a status round first.
@@ -59,7 +59,7 @@
         if report.instance not in load:
             continue
         wait = view.expected_wait(report, floor, now)
-        if wait > settings.longest_replica_wait:
+        if wait > settings.max_replica_wait:
             continue
         cost = wait + load[report.instance] * settings.load_cost
         if report.instance != preferred:
--- a/src/orchidwind/elected/core/slot_leases.py
+++ b/src/orchidwind/elected/core/slot_leases.py
@@ -34,7 +34,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AskLease:
+class LeaseRequest:
     """Ask the home `lender` for `wanted` connections to each instance."""
 
     lender: str
@@ -89,7 +89,7 @@
 
     # --- lender -------------------------------------------------------------------------------
 
-    def on_ask(self, now: float, borrower: str, wanted: int, spare: int) -> LeaseAnswer:
+    def on_lease_request(self, now: float, borrower: str, wanted: int, spare: int) -> LeaseAnswer:
         """Lend spare connections, keeping at least one for this home's own callers.
 
         A request from a borrower that holds a lease is a renewal. A renewal never shrinks the
@@ -115,7 +115,7 @@
 
     # --- borrower -----------------------------------------------------------------------------
 
-    def asks(self, now: float, lenders: Sequence[str], wanted: int) -> list[AskLease]:
+    def lease_requests(self, now: float, lenders: Sequence[str], wanted: int) -> list[LeaseRequest]:
         """The requests that a home in need of connections sends now, at most one per lender."""
         self._drop_expired(now)
         asked = []
@@ -126,7 +126,7 @@
             if now - self._requested_at.get(lender, float("-inf")) < _REQUEST_INTERVAL_SECONDS:
                 continue
             self._requested_at[lender] = now
-            asked.append(AskLease(lender, wanted))
+            asked.append(LeaseRequest(lender, wanted))
         return asked
 
     def on_answer(self, now: float, lender: str, answer: LeaseAnswer) -> None:
--- a/src/orchidwind/elected/core/view_waits.py
+++ b/src/orchidwind/elected/core/view_waits.py
@@ -94,7 +94,7 @@
             return False
         if report.replayed_covers(step.floor):
             return True
-        if now - since >= self.options.routing.longest_replica_wait:
+        if now - since >= self.options.routing.max_replica_wait:
             return False
         wait = self._view.expected_wait(report, step.floor, now)
         self._poller.schedule_at(step.instance, now + max(wait, REPLAY_CHECK_SECONDS))
--- a/src/orchidwind/elected/network/cluster.py
+++ b/src/orchidwind/elected/network/cluster.py
@@ -23,7 +23,7 @@
 from orchidwind.elected.core.configuration_history import (
     Adopt,
     ConfigurationHistory,
-    FetchTurn,
+    FetchLimiter,
     HistoryEffect,
 )
 from orchidwind.elected.core.member_table import Member, MemberState
@@ -63,7 +63,7 @@
         self._classes = ClassMatcher([])
         self._homes: dict[str, Home | None] = {}
         self._links: dict[str, PeerLink] = {}
-        self._fetch_turn = FetchTurn()
+        self._fetch_limiter = FetchLimiter()
         self._roles_timer: asyncio.TimerHandle | None = None
         own = Member(
             settings.name,
@@ -160,7 +160,7 @@
         return handle
 
     def _on_peer_document(self, peer: str, reply: codec.ConfigurationReply) -> None:
-        self._fetch_turn.ended()
+        self._fetch_limiter.ended()
         try:
             content = msgspec.json.decode(reply.content, type=OperatorFile)
         except msgspec.DecodeError:
@@ -178,9 +178,9 @@
 
     def _fetch(self, peer: str) -> None:
         link = self._link(peer)
-        if link is not None and self._fetch_turn.begin(self._loop.time()):
+        if link is not None and self._fetch_limiter.begin(self._loop.time()):
             request = codec.ConfigurationRequest(self.history.version)
-            self._send_soon(link, request, self._fetch_turn.ended)
+            self._send_soon(link, request, self._fetch_limiter.ended)
 
     def _send_soon(
         self,
--- a/src/orchidwind/elected/network/group_runner.py
+++ b/src/orchidwind/elected/network/group_runner.py
@@ -45,7 +45,7 @@
 
 def group_options(database: DatabaseSettings) -> GroupOptions:
     """Return the options of a group from the settings of its database."""
-    routing = RoutingSettings(longest_replica_wait=database.replica_wait_ms / 1000.0)
+    routing = RoutingSettings(max_replica_wait=database.replica_wait_ms / 1000.0)
     return GroupOptions(acknowledge=database.acknowledge, routing=routing)
 
 
--- a/src/orchidwind/elected/network/slot_lending.py
+++ b/src/orchidwind/elected/network/slot_lending.py
@@ -61,7 +61,7 @@
         The lent connections are released here before the answer is returned.
         """
         now = self._loop.time()
-        answer = self._leases.on_ask(now, borrower, wanted, self._home.spare_slots())
+        answer = self._leases.on_lease_request(now, borrower, wanted, self._home.spare_slots())
         self._leases_changed()
         return answer
 
@@ -100,7 +100,9 @@
         now = self._loop.time()
         if self._home.queued_requests() > 0 and self._leases.base_share > 0:
             database = self._home.database
-            for request in self._leases.asks(now, self._port.other_homes(database), _WANTED_SLOTS):
+            for request in self._leases.lease_requests(
+                now, self._port.other_homes(database), _WANTED_SLOTS
+            ):
                 self._port.request_lease(request.lender, database.name, request.wanted)
             self._set_timer(now + _BORROW_AFTER_SECONDS)
         self._leases_changed()
--- a/tests/elected/test_core.py
+++ b/tests/elected/test_core.py
@@ -19,7 +19,7 @@
     Adopt,
     ConfigurationHistory,
     FetchFrom,
-    FetchTurn,
+    FetchLimiter,
 )
 from orchidwind.elected.core.group_view import GroupView, InstanceReport
 from orchidwind.elected.core.placement import Node, Placement
@@ -315,7 +315,7 @@
 
 
 def test_one_configuration_is_fetched_at_a_time():
-    fetches = FetchTurn()
+    fetches = FetchLimiter()
     assert fetches.begin(1.0)
     assert not fetches.begin(1.0 + FETCH_SECONDS / 2)
     assert fetches.begin(1.0 + FETCH_SECONDS)
--- a/tests/elected/test_slot_leases.py
+++ b/tests/elected/test_slot_leases.py
@@ -23,9 +23,11 @@
         return self.time * self.speeds[name]
 
     def ask(self, borrower, lender, lost, busy=0):
-        for ask in self.leases[borrower].asks(self.now(borrower), [lender], 2):
+        for ask in self.leases[borrower].lease_requests(self.now(borrower), [lender], 2):
             spare = self.leases[lender].share(self.now(lender)) - busy
-            answer = self.leases[lender].on_ask(self.now(lender), borrower, ask.wanted, spare)
+            answer = self.leases[lender].on_lease_request(
+                self.now(lender), borrower, ask.wanted, spare
+            )
             self.sent_answers.append((borrower, lender, answer))
             if not lost:
                 self.leases[borrower].on_answer(self.now(borrower), lender, answer)
@@ -65,8 +67,8 @@
 
 def test_lease_moves_connections_until_it_expires():
     lender, borrower = SlotLeases(4), SlotLeases(1)
-    (ask,) = borrower.asks(0.0, ["x"], 4)
-    answer = lender.on_ask(0.1, "y", ask.wanted, spare=4)
+    (ask,) = borrower.lease_requests(0.0, ["x"], 4)
+    answer = lender.on_lease_request(0.1, "y", ask.wanted, spare=4)
     assert answer.slots == 3
     borrower.on_answer(0.2, "x", answer)
     assert (lender.share(0.2), borrower.share(0.2)) == (1, 4)
@@ -77,14 +79,14 @@
 
 def test_paused_borrower_finds_its_lease_expired():
     borrower = SlotLeases(1)
-    borrower.asks(0.0, ["x"], 2)
+    borrower.lease_requests(0.0, ["x"], 2)
     borrower.on_answer(60.0, "x", LeaseAnswer(2, 1, SLOT_LEASE_SECONDS))
     assert borrower.share(60.0) == 1
 
 
 def test_answer_with_a_lower_number_is_dropped():
     borrower = SlotLeases(1)
-    borrower.asks(0.0, ["x"], 2)
+    borrower.lease_requests(0.0, ["x"], 2)
     borrower.on_answer(0.1, "x", LeaseAnswer(0, 5, SLOT_LEASE_SECONDS))
     borrower.on_answer(0.2, "x", LeaseAnswer(2, 4, SLOT_LEASE_SECONDS))
     assert borrower.share(0.3) == 1
@@ -92,9 +94,9 @@
 
 def test_home_with_borrowed_connections_lends_none():
     middle = SlotLeases(2)
-    middle.asks(0.0, ["x"], 2)
+    middle.lease_requests(0.0, ["x"], 2)
     middle.on_answer(0.0, "x", LeaseAnswer(2, 1, SLOT_LEASE_SECONDS))
-    assert middle.on_ask(0.1, "z", 4, spare=4).slots == 0
+    assert middle.on_lease_request(0.1, "z", 4, spare=4).slots == 0
 
 
 def test_without_the_margin_a_slow_clock_would_exceed_the_slots(monkeypatch):
@@ -111,18 +113,18 @@
 
 def test_answers_of_a_restarted_lender_are_accepted():
     borrower = SlotLeases(1)
-    borrower.asks(0.0, ["x"], 2)
-    borrower.on_answer(0.1, "x", SlotLeases(3, first_number=100).on_ask(0.0, "y", 2, 3))
+    borrower.lease_requests(0.0, ["x"], 2)
+    borrower.on_answer(0.1, "x", SlotLeases(3, first_number=100).on_lease_request(0.0, "y", 2, 3))
     assert borrower.share(0.2) == 3
-    borrower.asks(2.5, ["x"], 2)
-    borrower.on_answer(2.6, "x", SlotLeases(3, first_number=5000).on_ask(0.0, "y", 2, 3))
+    borrower.lease_requests(2.5, ["x"], 2)
+    borrower.on_answer(2.6, "x", SlotLeases(3, first_number=5000).on_lease_request(0.0, "y", 2, 3))
     assert borrower.share(4.0) == 3
 
 
 def test_home_keeps_one_connection_if_its_base_share_falls_below_what_it_lent():
     """Without this, rolling restarts refused reads for the 3 s until the lease expired."""
     lender = SlotLeases(2)
-    assert lender.on_ask(0.0, "y", 2, spare=2).slots == 1
+    assert lender.on_lease_request(0.0, "y", 2, spare=2).slots == 1
     lender.base_share = 1
     assert lender.share(0.1) == 1
     lender.base_share = 0
