--- a/src/orchidwind_bench/elected/simulation/members.py
+++ b/src/orchidwind_bench/elected/simulation/members.py
@@ -29,7 +29,7 @@
 _GOSSIP_PORT = 1
 _WATCH_POLL_SECONDS = 0.5
 _PLATFORM = "platform"
-WATCHERS_A_ZONE = 2
+WATCHERS_PER_ZONE = 2
 
 
 class SimulatedPlatform:
@@ -143,7 +143,7 @@
         self.cluster.network.on_host(self.name, self._watch_now)
 
     def _watch_now(self) -> None:
-        watches = self.name in self.placement.watchers(self.zone, WATCHERS_A_ZONE)
+        watches = self.name in self.placement.watchers(self.zone, WATCHERS_PER_ZONE)
         if self.history.current is not None and not watches:
             return
         if not self.cluster.network.connected(self.name, _PLATFORM):
