--- a/src/orchidwind_bench/elected/simulation/database.py
+++ b/src/orchidwind_bench/elected/simulation/database.py
@@ -142,7 +142,7 @@
 
     def switch_over(self) -> None:
         """Planned change of primary to this instance."""
-        self._send(self.instance.stand_now(self.group.events.now))
+        self._send(self.instance.force_election(self.group.events.now))
         self._after_step()
 
     # --- sessions -----------------------------------------------------------------------------
--- a/src/orchidwind_standins/elected/postgres_main.py
+++ b/src/orchidwind_standins/elected/postgres_main.py
@@ -251,7 +251,7 @@
         if faults.replay_lag_ms is not None:
             self.instance.set_replay_lag(faults.replay_lag_ms / _MILLISECONDS)
         if faults.switchover and not self.instance.is_primary:
-            self._send(self.instance.stand_now(self._now()))
+            self._send(self.instance.force_election(self._now()))
 
     def status(self) -> InstanceStatusReport:
         """Return the state that `/status` reports."""
--- a/src/orchidwind_standins/elected/replication.py
+++ b/src/orchidwind_standins/elected/replication.py
@@ -286,7 +286,7 @@
         """Set the replay delay of records that arrive from now on."""
         self.timings = msgspec.structs.replace(self.timings, replay_lag=seconds)
 
-    def stand_now(self, now: float) -> list[Outgoing]:
+    def force_election(self, now: float) -> list[Outgoing]:
         """Start an election at once, for a planned change of primary."""
         return self._start_election(now)
 
