--- a/src/orchidwind/platform/__init__.py
+++ b/src/orchidwind/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Translates between the product and its first users' platform; decides nothing."""
+"""Adapters between the proxy and the platform of its first users; contains no proxy logic."""
--- a/src/orchidwind/platform/caller_lines.py
+++ b/src/orchidwind/platform/caller_lines.py
@@ -1,6 +1,6 @@
-"""What callers send and what they are answered, as lines of the platform's protocol. No I/O.
+"""Decoding of callers' messages and encoding of answers, in the platform's line protocol. No I/O.
 
-For: `callers`, which owns the connections. Owns the words of the commands and the codes of errors.
+For: `callers`, which owns the connections. Owns the keywords of commands and the codes of errors.
 
 Source: the users' page PROTOCOL.md, "The wire".
 """
@@ -21,21 +21,21 @@
 
 
 class Startup(Struct, frozen=True):
-    """A caller names its database, and itself: by the digest of its API key where it has one."""
+    """The first message: the database, and the digest of the API key given as the user name."""
 
     database: str
     key_digest: bytes
 
 
 class Terminate(Struct, frozen=True):
-    """A caller ends its session."""
+    """The caller ends its session."""
 
 
 CallerMessage = Startup | Command | Terminate
 
 
 def parse_caller_line(line: str) -> CallerMessage:
-    """Read a caller's message; raises WireError."""
+    """Decode a message of a caller; raises WireError."""
     word, _, rest = line.partition(" ")
     if word == "QUERY":
         return _query(rest)
@@ -43,24 +43,24 @@
         return _startup(rest)
     if word == "TERMINATE" and not rest:
         return Terminate()
-    raise WireError("an unknown word")
+    raise WireError("unknown keyword")
 
 
 def _query(rest: str) -> Command:
     request_id, separator, text = rest.partition(" ")
     if not request_id or not separator:
-        raise WireError("a query without id and text")
+        raise WireError("QUERY without request id and text")
     return parse_command(request_id, text)
 
 
 def _startup(rest: str) -> Startup:
     database, separator, user = rest.partition(" ")
     if not database or not separator or not user:
-        raise WireError("a start without database and user")
+        raise WireError("STARTUP without database and user")
     return Startup(database, key_digest(user))
 
 
-_BARE_TEXTS = {
+_FIXED_COMMANDS = {
     "BEGIN": CommandKind.BEGIN,
     "BEGIN READ": CommandKind.BEGIN_READ_ONLY,
     "COMMIT": CommandKind.COMMIT,
@@ -69,8 +69,8 @@
 
 
 def parse_command(request_id: str, text: str) -> Command:
-    """Read the text of a query; what is not known becomes CommandKind.UNKNOWN."""
-    kind = _BARE_TEXTS.get(text)
+    """Decode the text of a query; unsupported text becomes CommandKind.UNKNOWN."""
+    kind = _FIXED_COMMANDS.get(text)
     if kind is not None:
         return Command(request_id, kind, text)
     word, _, rest = text.partition(" ")
@@ -121,19 +121,19 @@
 
 
 def ready_line(state: TransactionState) -> bytes:
-    """The end of every answer to a caller."""
+    """The line that ends every answer to a caller, with the transaction state."""
     return f"READY {STATE_LETTERS[state]} {NO_VALUE}\r\n".encode(ENCODING)
 
 
 def result_lines(result: CommandResult) -> bytes:
-    """The rows and the end of a command that succeeded."""
+    """The rows of a successful command and the line that completes it."""
     lines = [f"DATAROW {row}\r\n" for row in result.rows]
     lines.append(f"COMPLETE {result.signature or NO_VALUE}\r\n")
     return "".join(lines).encode(ENCODING)
 
 
 def error_line(error: RequestError) -> bytes:
-    """An error with its code, and when to come back where a repeat is of use."""
+    """An error with its code and, if a retry makes sense, the delay before it."""
     text = error.kind.value
     if error.retry_after_milliseconds is not None:
         text += f" retry_after_ms={error.retry_after_milliseconds}"
--- a/src/orchidwind/platform/callers.py
+++ b/src/orchidwind/platform/callers.py
@@ -1,8 +1,8 @@
 """Callers' connections: the line protocol on a socket, in front of a `SessionExecutor`.
 
-For: `main`, which listens. Owns the callers' sockets, and that a caller's next message is read
-only after the answer to the last one has left. Relies on `SessionExecutor` for every command and on
-`caller_lines` for the words.
+For: `main`, which starts the listener. Owns the callers' sockets. The next message of a caller is
+processed only after the answer to the previous one was written to the socket. Relies on
+`SessionExecutor` for every command and on `caller_lines` for the encoding.
 """
 
 from __future__ import annotations
@@ -21,14 +21,14 @@
 from orchidwind.shared.logs import log_event
 from orchidwind.shared.sockets import configure_socket
 
-# One read of a socket, bytes. A window of TCP; longer messages take several reads.
+# Bytes per read of a socket: one TCP window. Longer messages take several reads.
 _READ_BYTES = 65536
-_MALFORMED = RequestError(ErrorKind.PROTOCOL_VIOLATION, "the message is not of this protocol")
-_TOO_LARGE = RequestError(ErrorKind.MESSAGE_TOO_LARGE, "the message is too long")
+_MALFORMED = RequestError(ErrorKind.PROTOCOL_VIOLATION, "invalid protocol message")
+_TOO_LARGE = RequestError(ErrorKind.MESSAGE_TOO_LARGE, "the message exceeds the size limit")
 
 
 class CallerListener(TCPServer):
-    """Accepts callers."""
+    """Accepts the connections of callers."""
 
     def __init__(self, proxy: ProxyRuntime) -> None:
         super().__init__()
@@ -36,17 +36,17 @@
         self._registry = proxy.registry
 
     async def handle_stream(self, stream: IOStream, address: tuple[str, int]) -> None:
-        """Serve one caller to its end."""
-        configure_socket(stream.socket)
-        connection = LineCaller(stream, self._proxy)
+        """Serve one caller until its session ends."""
+        watchful(stream.socket)
+        connection = CallerConnection(stream, self._proxy)
         self._registry.sessions.add(connection)
         self._proxy.metrics.sessions.set(len(self._registry.sessions))
         try:
             await connection.serve()
         except StreamClosedError:
-            # The usual end of a session: the caller closed its connection.
+            # The caller closed its connection: the usual end of a session.
             pass
-        except Exception as error:  # a fault of this program ends one session, not all
+        except Exception as error:  # an unexpected error ends one session, not the process
             log_event("session_failed_unexpectedly", level=logging.ERROR, reason=repr(error))
         finally:
             self._registry.sessions.discard(connection)
@@ -54,8 +54,8 @@
             connection.close()
 
 
-class LineCaller:
-    """One caller's connection."""
+class CallerConnection:
+    """One connection of a caller, from startup to close."""
 
     def __init__(self, stream: IOStream, proxy: ProxyRuntime) -> None:
         self._stream = stream
@@ -66,13 +66,13 @@
         stream.set_close_callback(self._on_closed)
 
     @property
-    def idle(self) -> bool:
-        """Whether the caller waits for no answer."""
+    def resting(self) -> bool:
+        """Whether no command of the caller is in progress."""
         return not self._busy
 
     @property
     def in_transaction(self) -> bool:
-        """Whether a transaction is open, or failed and not ended."""
+        """Whether a transaction is open, including one that failed and wasn't ended yet."""
         executor = self._executor
         return executor is not None and executor.state is not TransactionState.IDLE
 
@@ -88,7 +88,7 @@
             self._executor.caller_left()
 
     async def serve(self) -> None:
-        """Answer message after message."""
+        """Answer messages until the session ends; an invalid message ends it with an error."""
         try:
             if not await self._start():
                 return
@@ -109,7 +109,7 @@
     async def _start(self) -> bool:
         message = await self._next_message()
         if not isinstance(message, caller_lines.Startup):
-            raise line_format.WireError("a session begins with its database")
+            raise line_format.WireError("the first message is not STARTUP")
         error = await self._refusal(message)
         if error is not None:
             configuration = self._proxy.configuration
@@ -128,7 +128,9 @@
 
     async def _refusal(self, message: caller_lines.Startup) -> RequestError | None:
         if not await self._proxy.wait_prepared(FIRST_CONFIGURATION_SECONDS):
-            return RequestError(ErrorKind.NO_HOME, "no configuration is known yet")
+            return RequestError(
+                ErrorKind.NO_HOME, "this proxy has not received a configuration yet"
+            )
         if self._proxy.database(message.database) is None:
             return RequestError(ErrorKind.UNKNOWN_DATABASE, message.database)
         try:
@@ -142,7 +144,7 @@
         if isinstance(message, caller_lines.Terminate):
             return False
         if not isinstance(message, Command) or self._executor is None:
-            raise line_format.WireError("a session begins once")
+            raise line_format.WireError("second STARTUP in a session")
         executor = self._executor
         try:
             answer = caller_lines.result_lines(await executor.execute(message))
--- a/src/orchidwind/platform/coordination.py
+++ b/src/orchidwind/platform/coordination.py
@@ -1,9 +1,9 @@
-"""The product's own objects in the store: promotion lock, rosters, lead leases, quotas, proxies.
+"""Objects that the proxies write: promotion lock, rosters, leadership leases, quotas, members.
 
 For: the ports `PromotionLockStore`, `RosterStore`, `LeaseRegistry`, `QuotaShareStore`,
-`MemberStore` and the watched collections of these kinds. Owns the names under which their content
-is stored, which older and newer processes read from one another: they do not change. Relies on
-`store` for the calls.
+`MemberStore` and the watched collections of these kinds. Owns the stored names of kinds, objects
+and fields. They must not change: processes of different versions read each other's objects. Relies
+on `store` for the calls.
 
 Source: the users' page PROTOCOL.md, "The platform's metadata store".
 """
@@ -47,12 +47,12 @@
 class _PromotionSpec(msgspec.Struct):
     instance: str
     term: int
-    # The end of the log at which the new primary's term begins.
+    # The end of the new primary's log when it was promoted, where its term begins.
     start_term: int
     start_number: int
-    # The promotion lock's revision with which the promotion was sent.
+    # The fencing token of the promotion: the revision of the promotion lock.
     token: int
-    # The primary before; empty where none was known.
+    # The previous primary; empty if none was known.
     replaced: str = ""
 
 
@@ -67,10 +67,11 @@
 
 
 class _LeaseSpec(msgspec.Struct):
-    # Of the promotion lock: as this proxy last saw it, and as it was when the process began.
+    # Revisions of the promotion lock: the last one that this proxy saw, and the one at which its
+    # process started.
     revision: int = 0
     first_revision: int = 0
-    # By group: up to which end of the log this proxy may have acknowledged commits.
+    # By group: the highest log position up to which this proxy may have acknowledged commits.
     acknowledged: dict[str, _LogEndSpec] = msgspec.field(default_factory=dict, name="told")
     left: bool = False
 
@@ -88,19 +89,19 @@
 
 
 class LockTranslation:
-    """The promotion lock, as a collection of one."""
+    """Decodes the promotion lock, a collection of one object."""
 
     kind = _LOCKS
 
     def item(self, stored: StoredObject, era: int) -> LockRecord | None:
-        """The lock's record, if it is the lock of that era."""
+        """The lock's record, or None if the object isn't the lock of that era."""
         if stored.meta.name != _lock_name(era):
             return None
-        return _record(stored, StoreRevision.of(era, stored.meta.revision))
+        return _lock_record(stored, StoreRevision.of(era, stored.meta.revision))
 
 
 class RosterTranslation:
-    """The rosters of the groups."""
+    """Decodes the rosters of the groups."""
 
     kind = _ROSTERS
 
@@ -133,13 +134,16 @@
 
 
 class RosterObjects:
-    """One object for each group."""
+    """Writes the rosters: one object for each group."""
 
     def __init__(self, store: ObjectStore) -> None:
         self._store = store
 
     async def write(self, roster: Roster, create: bool) -> Roster:
-        """Create or replace one; raises PlatformConflict, -Uncertain, -Error."""
+        """Create or replace a roster and return it with its new revision.
+
+        Raises PlatformConflict, PlatformUncertain or PlatformError.
+        """
         version = ObjectVersion(_ROSTERS, roster.group, roster.revision, is_new=create)
         spec = _RosterSpec(list(roster.members), _promotion_spec(roster.last_promotion))
         written = await self._store.write(version, spec)
@@ -147,24 +151,27 @@
 
 
 class LeaseObjects:
-    """One object for each proxy that may hold a lead lease."""
+    """The leadership leases: one object for each proxy that may hold one."""
 
     def __init__(self, store: ObjectStore) -> None:
         self._store = store
 
     async def confirm(self, confirmation: LeaseConfirmation) -> StoreRevision:
-        """Write the proxy's object, whether or not it is there; raises PlatformError."""
+        """Create or overwrite the proxy's object; return its revision. Raises PlatformError."""
         spec = _lease_spec(confirmation)
         written = await self._store.overwrite_or_create(_LEASES, confirmation.proxy, spec)
         return written.revision
 
     async def confirmations(self) -> Listing[LeaseConfirmation]:
-        """All objects; raises PlatformError."""
+        """Read the confirmations of all proxies; raises PlatformError."""
         listing = await read_all(self._store, _LEASES, STORE_CALL_SECONDS)
         return Listing(tuple(_confirmation(item) for item in listing.items), listing.revision)
 
     async def leave(self, confirmation: LeaseConfirmation, revision: StoreRevision) -> None:
-        """Write over the proxy's object at a revision; raises PlatformConflict, PlatformError."""
+        """Write a confirmation that gives up the lease, if the object is still at `revision`.
+
+        Raises PlatformConflict, PlatformUncertain or PlatformError.
+        """
         version = ObjectVersion(_LEASES, confirmation.proxy, revision, is_new=False)
         await self._store.write(version, _lease_spec(confirmation))
 
@@ -185,36 +192,42 @@
 
 
 class PromotionLockObject:
-    """The promotion lock as an object of the store."""
+    """Reads and writes the promotion lock, which is one object in each era of the store."""
 
     def __init__(self, store: ObjectStore) -> None:
         self._store = store
 
     async def read(self) -> LockRecord:
-        """The record of the present era; raises PlatformError."""
+        """Read the lock of the store's current era; raises PlatformError.
+
+        Returns an absent record if the lock wasn't created in this era yet.
+        """
         era = self._store.era.current
-        answer = await self._store.read(_lock_path(era), STORE_CALL_SECONDS)
-        if answer.era != era:  # the store's era was not known before
-            era = answer.era
-            answer = await self._store.read(_lock_path(era), STORE_CALL_SECONDS)
-        if answer.era != era:
-            raise PlatformError("the store came back from a copy twice while the lock was read")
-        if answer.status == 404:
+        response = await self._store.read(_lock_path(era), STORE_CALL_SECONDS)
+        if response.era != era:  # the store entered an era that this proxy didn't know yet
+            era = response.era
+            response = await self._store.read(_lock_path(era), STORE_CALL_SECONDS)
+        if response.era != era:
+            raise PlatformError("the store was restored from a copy twice while the lock was read")
+        if response.status == 404:
             return LockRecord.absent(era)
-        stored = decode(answer.body, StoredObject)
-        return _record(stored, answer.at(stored.meta.revision))
+        stored = decode(response.body, StoredObject)
+        return _lock_record(stored, response.revision_in_era(stored.meta.revision))
 
     async def write(self, record: LockRecord, create: bool) -> LockRecord:
-        """Create or replace it; raises PlatformConflict, -Uncertain, -Error."""
+        """Create or replace the lock and return it with its new revision.
+
+        Raises PlatformConflict, PlatformUncertain or PlatformError.
+        """
         spec = _LockSpec(record.holder, record.attempt, record.released)
         name = _lock_name(record.revision.era)
         version = ObjectVersion(_LOCKS, name, record.revision, is_new=create)
         written = await self._store.write(version, spec)
-        return _record(written.stored, written.revision)
+        return _lock_record(written.stored, written.revision)
 
 
 def _lock_name(era: int) -> str:
-    """Each era has a lock of its own: see `promotion_lock`."""
+    """The name of the lock object of an era; `promotion_lock` says why each era has its own."""
     return _LOCK_NAME if era == FIRST_ERA else f"{_LOCK_NAME}-{era}"
 
 
@@ -222,18 +235,18 @@
     return object_path(_LOCKS, _lock_name(era))
 
 
-def _record(stored: StoredObject, revision: StoreRevision) -> LockRecord:
+def _lock_record(stored: StoredObject, revision: StoreRevision) -> LockRecord:
     spec = decode(stored.spec, _LockSpec)
     return LockRecord(spec.holder, spec.attempt, spec.released, revision)
 
 
 class QuotaShareTranslation:
-    """Who holds shares of the tenants' quotas, as a collection of one."""
+    """Decodes the list of proxies that hold shares of the tenants' quotas, a single object."""
 
     kind = _QUOTAS
 
     def item(self, stored: StoredObject, era: int) -> QuotaShares | None:
-        """The object, if it is the one that names the holders."""
+        """The quota shares, or None if the object is another one."""
         if stored.meta.name != _QUOTA_SHARES:
             return None
         return _quota_shares(stored, StoreRevision.of(era, stored.meta.revision))
@@ -245,13 +258,16 @@
 
 
 class QuotaShareObject:
-    """One object for all tenants."""
+    """Writes the list of proxies that hold quota shares: one object for all tenants."""
 
     def __init__(self, store: ObjectStore) -> None:
         self._store = store
 
     async def write(self, shares: QuotaShares, create: bool) -> QuotaShares:
-        """Create or replace it; raises PlatformConflict, -Uncertain, -Error."""
+        """Create or replace the object and return it with its new revision.
+
+        Raises PlatformConflict, PlatformUncertain or PlatformError.
+        """
         version = ObjectVersion(_QUOTAS, _QUOTA_SHARES, shares.revision, is_new=create)
         spec = _QuotaSharesSpec(list(shares.holders), list(shares.following))
         written = await self._store.write(version, spec)
@@ -259,24 +275,24 @@
 
 
 class MemberTranslation:
-    """The proxies that list themselves."""
+    """Decodes the registrations of the proxies."""
 
     kind = _MEMBERS
 
     def item(self, stored: StoredObject, era: int) -> ProxyMember | None:
-        """A proxy."""
+        """The proxy that the object registers."""
         spec = decode(stored.spec, _MemberSpec)
         return ProxyMember(stored.meta.name, spec.zone, spec.host, spec.port, spec.capacity)
 
 
 class MemberObjects:
-    """One object for each proxy."""
+    """Writes the registrations of the proxies: one object for each."""
 
     def __init__(self, store: ObjectStore) -> None:
         self._store = store
 
     async def write(self, member: ProxyMember) -> bool:
-        """Write a proxy's object; whether it was not there. Raises PlatformError."""
+        """Write a proxy's object; return whether it was created. Raises PlatformError."""
         spec = _MemberSpec(member.zone, member.host, member.port, member.capacity)
         return await self._store.create_or_overwrite(_MEMBERS, member.name, spec)
 
--- a/src/orchidwind/platform/http_call.py
+++ b/src/orchidwind/platform/http_call.py
@@ -1,8 +1,8 @@
-"""One HTTP/1.1 call on a connection of its own, for the platform's store and promotion service.
+"""One HTTP/1.1 request on a connection of its own, for the platform's store and promotion service.
 
-For: calls whose failure says how far they came (`HttpCallFailed`), and answers on slow links, which
-are waited for as long as they are arriving. Owns the connection of the call. Relies on
-`shared.sockets` to notice a far end that goes dark. It repeats nothing: its callers do.
+A failed call reports how far it got (`HttpCallFailed`), and a response over a slow link may take
+longer than the limit while it is arriving. Owns the connection of the call. Relies on
+`shared.sockets` to detect an unreachable server. It retries nothing; that is left to its callers.
 """
 
 from __future__ import annotations
@@ -25,15 +25,17 @@
 from orchidwind.shared.core.errors import OrchidwindError
 from orchidwind.shared.sockets import client_socket
 
-# 64 times the longest object of the first users' store, so no listing of it is cut.
+# 64 times the size limit of an object in the first users' store, so that every listing fits.
 _MAXIMUM_BODY_BYTES = 64 * 1024 * 1024
 
 
 class HttpCallFailed(OrchidwindError):
-    """No whole answer came; `sent` tells whether the request had begun to leave.
+    """A call that ended without a complete response.
 
-    `silent_for`: seconds without a byte of the answer on an open connection, None where the call
-    ended otherwise; `open_for`: seconds since the connection was open.
+    `sent` is whether sending may have begun, so that the request may have taken effect.
+    `silent_for` is the time since the last byte of the response (or since the connection was
+    opened) if the call timed out on an open connection, else None. `open_for` is the time since the
+    connection was opened, None if it wasn't. Both are in seconds.
     """
 
     def __init__(
@@ -51,7 +53,7 @@
 
 
 class HttpRequest(Struct, frozen=True):
-    """A call. `address` is (host, port)."""
+    """An HTTP request. `address` is (host, port)."""
 
     address: tuple[str, int]
     method: str
@@ -60,16 +62,16 @@
     headers: dict[str, str] = field(default_factory=dict)
 
 
-class HttpAnswer(Struct, frozen=True):
-    """A whole answer."""
+class HttpResponse(Struct, frozen=True):
+    """A complete HTTP response."""
 
     status: int
     body: bytes
     headers: HTTPHeaders = field(default_factory=HTTPHeaders)
 
 
-class _AnswerCollector(HTTPMessageDelegate):
-    """Takes the parts of an answer as they come; `on_body` is called for each part of its body."""
+class _ResponseCollector(HTTPMessageDelegate):
+    """Collects a response as it arrives; `on_body` is called for each chunk of the body."""
 
     def __init__(self, on_body: Callable[[], None]) -> None:
         self._on_body = on_body
@@ -78,7 +80,7 @@
         self.headers = HTTPHeaders()
         self.body = bytearray()
         self.finished = False
-        # When bytes came last, in seconds of the steady clock; None: none came.
+        # Monotonic time in seconds at which the last byte arrived; None if none did.
         self.last_byte_at: float | None = None
 
     def headers_received(
@@ -99,26 +101,26 @@
 
 
 class _Call:
-    """One call under way: its time limit, and how far it has come."""
+    """A call in progress: its time limit, and how far it got."""
 
     def __init__(self, request: HttpRequest, on_arrival: Callable[[], None] | None) -> None:
         self._request = request
         self._on_arrival = on_arrival
-        self._answer = _AnswerCollector(self._body_arrived)
+        self._response = _ResponseCollector(self._on_body_chunk)
         self._limit: asyncio.Timeout | None = None
         self._loop = asyncio.get_running_loop()
-        # Seconds of the steady clock; None: the connection is not open yet.
+        # Monotonic times in seconds. `_connected_at` is None until the connection is open.
         self._started_at = self._loop.time()
         self._connected_at: float | None = None
 
-    async def run(self, seconds: float) -> HttpAnswer:
-        """Connect, send and wait for the whole answer; raises HttpCallFailed."""
+    async def run(self, seconds: float) -> HttpResponse:
+        """Connect, send the request and return the complete response; raises HttpCallFailed."""
         stream = IOStream(client_socket())
         try:
             async with asyncio.timeout(seconds) as self._limit:
                 await stream.connect(self._request.address)
                 self._connected_at = self._loop.time()
-                return await _exchange(stream, self._request, self._answer)
+                return await _exchange(stream, self._request, self._response)
         except TimeoutError as error:
             raise self._failure("time out", self._silent_for()) from error
         except (StreamClosedError, OSError, HTTPInputError) as error:
@@ -126,45 +128,47 @@
         finally:
             stream.close()
 
-    def _body_arrived(self) -> None:
-        """Part of the body has come: the caller may allow more time for the rest."""
-        due = self._limit.when() if self._limit is not None else None
-        if self._limit is None or self._on_arrival is None or due is None:
+    def _on_body_chunk(self) -> None:
+        """Extend the time limit after a chunk of the body, if the call has an `on_arrival`."""
+        deadline = self._limit.when() if self._limit is not None else None
+        if self._limit is None or self._on_arrival is None or deadline is None:
             return
         self._on_arrival()
-        next_part_due = self._loop.time() + ANSWER_STALL_SECONDS
+        next_chunk_deadline = self._loop.time() + ARRIVING_SECONDS
         latest = self._started_at + LONGEST_ANSWER_SECONDS
-        self._limit.reschedule(max(due, min(next_part_due, latest)))
+        self._limit.reschedule(max(deadline, min(next_chunk_deadline, latest)))
 
     def _silent_for(self) -> float | None:
-        """Seconds without a byte on the open connection; None where it is not open."""
+        """Seconds without a byte on the open connection; None if it isn't open."""
         if self._connected_at is None:
             return None
-        return self._loop.time() - (self._answer.last_byte_at or self._connected_at)
+        return self._loop.time() - (self._response.last_byte_at or self._connected_at)
 
     def _failure(self, reason: str, silent_for: float | None) -> HttpCallFailed:
         now = self._loop.time()
         sent = self._connected_at is not None
         stage = "waiting for the answer" if sent else "connecting"
-        received = len(self._answer.body)
-        arrived = f" and {received} bytes of it" if received else ""
-        text = f"{reason} while {stage}, after {now - self._started_at:.3f} s{arrived}"
+        received = len(self._response.body)
+        received_text = f" and {received} bytes of it" if received else ""
+        text = f"{reason} while {stage}, after {now - self._started_at:.3f} s{received_text}"
         open_for = None if self._connected_at is None else now - self._connected_at
         return HttpCallFailed(text, sent=sent, silent_for=silent_for, open_for=open_for)
 
 
 async def http_call(
     request: HttpRequest, seconds: float, on_arrival: Callable[[], None] | None = None
-) -> HttpAnswer:
-    """Make a call; raises HttpCallFailed.
+) -> HttpResponse:
+    """Send a request and return its response; raises HttpCallFailed.
 
-    With `on_arrival`, which is called as bytes of the answer's body come, an answer that is
-    arriving is waited for beyond `seconds`; without, the call ends then in any case.
+    `on_arrival` is called for each chunk of the response's body, and lets a response that is
+    arriving take longer than `seconds`. Without it, the call ends after `seconds` in any case.
     """
     return await _Call(request, on_arrival).run(seconds)
 
 
-async def _exchange(stream: IOStream, request: HttpRequest, answer: _AnswerCollector) -> HttpAnswer:
+async def _exchange(
+    stream: IOStream, request: HttpRequest, response: _ResponseCollector
+) -> HttpResponse:
     parameters = HTTP1ConnectionParameters(
         no_keep_alive=True, max_body_size=_MAXIMUM_BODY_BYTES, decompress=False
     )
@@ -177,7 +181,7 @@
     line = RequestStartLine(request.method, request.path, "HTTP/1.1")
     connection.write_headers(line, headers, request.body or None)
     connection.finish()
-    await connection.read_response(answer)
-    if not answer.finished:
+    await connection.read_response(response)
+    if not response.finished:
         raise StreamClosedError
-    return HttpAnswer(answer.status, bytes(answer.body), answer.headers)
+    return HttpResponse(response.status, bytes(response.body), response.headers)
--- a/src/orchidwind/platform/instance_lines.py
+++ b/src/orchidwind/platform/instance_lines.py
@@ -1,7 +1,7 @@
-"""What the proxy sends to instances and what they answer, as lines of the platform's protocol.
+"""Encoding of messages to instances and decoding of their replies, in the platform's protocol.
 
-For: `instances`, which owns the connections. Owns the words of messages, the codes of answers and
-the columns of a status. No I/O.
+For: `instances`, which owns the connections. Owns the keywords of messages, the codes of replies
+and the columns of a status row. No I/O.
 
 Source: the users' page PROTOCOL.md, "The wire".
 """
@@ -27,17 +27,20 @@
 )
 from orchidwind.shared.core.positions import Position
 
-# Who a connection belongs to that serves no tenant.
-_PROXY_ITSELF = "orchidwind"
+# The tenant name in the startup of connections that belong to the proxy itself.
+_PROXY_TENANT = "orchidwind"
 
 
 def startup_line(group: str, tenant: str, instance: str) -> bytes:
-    """Open a connection of a tenant, or of the proxy itself, to one named instance of a group."""
-    return f"STARTUP {group} {tenant or _PROXY_ITSELF} {instance}\r\n".encode(ENCODING)
+    """The first line of a connection to one instance of a group.
+
+    An empty `tenant` stands for the proxy itself.
+    """
+    return f"STARTUP {group} {tenant or _PROXY_TENANT} {instance}\r\n".encode(ENCODING)
 
 
 def message_line(message: InstanceMessage) -> bytes:
-    """One message to an instance."""
+    """Encode a message, with its floor (the lowest log position that it must see) if it has one."""
     text = _message_text(message)
     if message.floor is not None:
         text = f"AFTER {format_position(message.floor)} {text}"
@@ -65,22 +68,22 @@
 
 
 def status_line() -> bytes:
-    """Asks for the status."""
+    """The command that queries the status."""
     return _control_line("STATUS")
 
 
 def fence_line(term: int) -> bytes:
-    """Keeps an instance from receiving of primaries below a term: the wire calls it a pause."""
+    """The command that fences an instance against primaries below `term`: PAUSE on the wire."""
     return _control_line(f"PAUSE {term}")
 
 
 def unfence_line() -> bytes:
-    """Lets an instance receive again."""
+    """The command that lifts the fence: RESUME on the wire."""
     return _control_line("RESUME")
 
 
 def demote_line(term: int) -> bytes:
-    """Turns a primary of a lower term into a replica."""
+    """The command that turns a primary of a term below `term` into a replica."""
     return _control_line(f"DEMOTE {term}")
 
 
@@ -100,7 +103,7 @@
 
 
 class ReplyReader:
-    """Puts the lines of an instance together to replies."""
+    """Assembles replies from the lines of one instance."""
 
     def __init__(self) -> None:
         self._rows: list[str] = []
@@ -108,8 +111,8 @@
         self._code: ReplyCode | None = None
         self._text = ""
 
-    def take(self, line: str) -> Reply | None:
-        """Take a line; the reply where the line ends one. Raises WireError."""
+    def feed_line(self, line: str) -> Reply | None:
+        """Process a line; return the reply if the line completes one. Raises WireError."""
         word, _, rest = line.partition(" ")
         if word == "DATAROW":
             self._rows.append(rest)
@@ -123,14 +126,14 @@
         elif word == "READY":
             return self._finish(rest)
         else:
-            raise WireError(f"an instance said {word!r}")
+            raise WireError(f"unknown keyword {word!r} from the instance")
         return None
 
     def _finish(self, rest: str) -> Reply:
         letter, _, position = rest.partition(" ")
         state = _STATES.get(letter)
         if state is None:
-            raise WireError(f"an unknown state {letter!r}")
+            raise WireError(f"unknown transaction state {letter!r}")
         reply = Reply(
             self._code or ReplyCode.DONE,
             tuple(self._rows),
@@ -147,10 +150,10 @@
 
 
 def parse_status(instance: str, row: str) -> InstanceStatus:
-    """Read the row of a status; raises WireError.
+    """Decode a status row; raises WireError.
 
-    Its columns: role, term, end of the log, fence, delay of replay, and two that are not used
-    (statements that run, connections).
+    Columns: role, term, end of the log, fence term, replay delay in milliseconds, and two that are
+    not used (running statements, connections).
     """
     columns = row.split(" ")
     try:
@@ -160,5 +163,5 @@
         fence_term = int(columns[3])
         replay_delay_ms = int(float(columns[4]))
     except (ValueError, IndexError) as error:
-        raise WireError(f"not a status: {row!r}") from error
+        raise WireError(f"invalid status row: {row!r}") from error
     return InstanceStatus(instance, role, term, received, fence_term, replay_delay_ms)
--- a/src/orchidwind/platform/instances.py
+++ b/src/orchidwind/platform/instances.py
@@ -1,8 +1,9 @@
 """Connections to instances: the line protocol on a socket, behind the port `InstanceLink`.
 
-For: `promoted.group`, which decides what is sent, for how long and to whom. Owns one socket a link
-and the order of its replies: the protocol has no numbers, so replies come in the order of the
-messages. Relies on `instance_lines` for the words. It has no time limit and repeats nothing.
+For: `promoted.group`, which chooses the instance, the messages and the time limits. Each link owns
+one socket and the queue of expected replies: messages carry no sequence numbers, so replies are
+matched by order. Relies on `instance_lines` for the encoding. It sets no time limit and retries
+nothing.
 """
 
 from __future__ import annotations
@@ -21,15 +22,15 @@
 from orchidwind.shared.core.errors import BackendConnectionLost, BackendRefused
 from orchidwind.shared.sockets import client_socket
 
-# One read of a socket, bytes. A window of TCP; longer replies take several reads.
+# Bytes per read of a socket: one TCP window. Longer replies take several reads.
 _READ_BYTES = 65536
-# SQLSTATE of a refused connection, as `BackendRefused` carries it.
-_OTHER_REFUSAL = "08004"
+# SQLSTATEs of refused connections, as `BackendRefused` carries them.
+_CONNECTION_REJECTED = "08004"
 _BUSY = "53000"
 
 
 class LineLink:
-    """One connection; replies come in the order of the messages."""
+    """One connection to an instance; replies arrive in the order of the messages."""
 
     def __init__(self, stream: IOStream, instance: str, on_lost: Callable[[], None]) -> None:
         self._stream = stream
@@ -43,7 +44,10 @@
         self._started = False
 
     async def start(self, group: str, tenant: str) -> None:
-        """Name instance and tenant; raises BackendRefused, BackendConnectionLost."""
+        """Send the startup message with instance and tenant, and wait for the reply.
+
+        Raises BackendRefused or BackendConnectionLost.
+        """
         self._reader = asyncio.get_running_loop().create_task(self._read())
         line = instance_lines.startup_line(group, tenant, identity_of(self._instance))
         waiting = self._send(line, 1)
@@ -63,7 +67,7 @@
         return waiting
 
     async def exchange(self, messages: tuple[InstanceMessage, ...]) -> tuple[Reply, ...]:
-        """Send messages and wait for all replies; raises BackendConnectionLost."""
+        """Send messages and return all replies; raises BackendConnectionLost."""
         data = b"".join(instance_lines.message_line(message) for message in messages)
         waiting = self._send(data, len(messages))
         return tuple([await item for item in waiting])
@@ -73,24 +77,24 @@
             while True:
                 data = await self._stream.read_bytes(_READ_BYTES, partial=True)
                 self._lines.feed(data)
-                self._take_lines()
+                self._process_lines()
         except (StreamClosedError, line_format.WireError) as error:
             self._fail(str(error) or "closed")
 
-    def _take_lines(self) -> None:
+    def _process_lines(self) -> None:
         while (line := self._lines.next_line()) is not None:
             if not self._pending:
-                raise line_format.WireError("an instance spoke unasked")
-            reply = self._replies.take(line) or self._refused_start(line)
+                raise line_format.WireError("line from the instance without a pending request")
+            reply = self._replies.feed_line(line) or self._refused_startup_reply(line)
             if reply is not None:
                 waiting = self._pending.popleft()
                 if not waiting.done():
                     waiting.set_result(reply)
 
-    def _refused_start(self, line: str) -> Reply | None:
-        """An instance that refuses a new connection sends an error and closes, without READY."""
+    def _refused_startup_reply(self, line: str) -> Reply | None:
+        """The reply to a refused startup: the instance sends ERROR and closes, without READY."""
         if not self._started and line.startswith("ERROR "):
-            return self._replies.take("READY I -")
+            return self._replies.feed_line("READY I -")
         return None
 
     def _fail(self, reason: str) -> None:
@@ -106,22 +110,26 @@
         self._on_lost()
 
     async def status(self) -> InstanceStatus:
-        """Ask for the status."""
+        """Query the status. Raises as `_control`, like the three commands below."""
         return await self._control(instance_lines.status_line())
 
     async def fence(self, term: int) -> InstanceStatus:
-        """Keep the instance from receiving of primaries below `term`."""
+        """Make the instance accept no log from primaries of terms below `term`."""
         return await self._control(instance_lines.fence_line(term))
 
     async def unfence(self) -> InstanceStatus:
-        """Let the instance receive again."""
+        """Make the instance accept log from any primary again."""
         return await self._control(instance_lines.unfence_line())
 
     async def demote(self, term: int) -> InstanceStatus:
-        """Turn a primary of a lower term into a replica."""
+        """Make the instance a replica if it is a primary of a term below `term`."""
         return await self._control(instance_lines.demote_line(term))
 
     async def _control(self, line: bytes) -> InstanceStatus:
+        """Send a control command and return the status that the instance replies with.
+
+        Raises BackendRefused if the instance reports an error, BackendConnectionLost otherwise.
+        """
         reply = await self._send(line, 1)[0]
         if reply.code is not ReplyCode.DONE or not reply.rows:
             raise _refusal(reply)
@@ -131,7 +139,7 @@
             raise BackendConnectionLost(str(error), sent=True) from error
 
     def close(self) -> None:
-        """Close at once."""
+        """Close the connection at once; pending requests fail with BackendConnectionLost."""
         if self._reader is not None:
             self._reader.cancel()
         self._fail("closed by this proxy")
@@ -145,7 +153,7 @@
         return BackendRefused(reply.text, UNEXPECTED_INSTANCE)
     if reply.code is ReplyCode.BUSY:
         return BackendRefused(reply.text, _BUSY)
-    return BackendRefused(reply.text, _OTHER_REFUSAL)
+    return BackendRefused(reply.text, _CONNECTION_REJECTED)
 
 
 class LineConnector:
--- a/src/orchidwind/platform/line_format.py
+++ b/src/orchidwind/platform/line_format.py
@@ -1,7 +1,7 @@
-"""Lines, the frames of the platform's protocol, and the values that both of its directions share.
+"""Framing of the platform's line protocol, and values that callers and instances both use.
 
-For: `caller_lines` and `instance_lines`. Owns the limit of a message and the letters of the states.
-No I/O. Text is carried as Latin-1, so that every byte passes unchanged.
+For: `caller_lines` and `instance_lines`. Owns the size limit of a message and the letters of the
+transaction states. No I/O. Text is decoded as Latin-1, so that every byte is passed on unchanged.
 
 Source: the users' page PROTOCOL.md, "The wire".
 """
@@ -13,9 +13,9 @@
 from orchidwind.shared.core.positions import Position
 
 ENCODING = "latin-1"
-# The longest message of a caller or an instance, bytes; the users' page sets it.
+# Size limit of a message of a caller or an instance; defined by the users' page.
 MAXIMUM_MESSAGE_BYTES = 1024 * 1024
-# Stands for a value that is not there: a position, a signature, the id of the proxy's own messages.
+# Placeholder for a missing value: a position, a signature, the request id of the proxy's messages.
 NO_VALUE = "-"
 STATE_LETTERS = {
     TransactionState.IDLE: "I",
@@ -27,15 +27,15 @@
 
 
 class WireError(OrchidwindError):
-    """A message that is not of this protocol."""
+    """A message that violates the protocol."""
 
 
 class MessageTooLarge(WireError):
-    """A message longer than the limit."""
+    """A message that exceeds the size limit."""
 
 
 class LineReader:
-    """Cuts a stream of bytes into lines."""
+    """Splits a stream of bytes into lines."""
 
     def __init__(self, maximum_bytes: int = MAXIMUM_MESSAGE_BYTES) -> None:
         self._buffer = bytearray()
@@ -43,41 +43,42 @@
         self._maximum = maximum_bytes
 
     def feed(self, data: bytes) -> None:
-        """Take bytes as they came."""
+        """Append bytes that were received."""
         self._buffer += data
 
     def next_line(self) -> str | None:
-        """The next whole line without its end, None where more bytes are needed.
+        """The next complete line without its CR LF, or None if more bytes are needed.
 
-        Raises WireError for a line that does not end as it must, or is too long.
+        Raises WireError for a line without a carriage return, MessageTooLarge for one that is too
+        long, even if its end hasn't arrived.
         """
         end = self._buffer.find(_LINE_END, self._searched)
         if end < 0:
             self._searched = len(self._buffer)
             if len(self._buffer) > self._maximum:
-                raise MessageTooLarge("a message is too long")
+                raise MessageTooLarge("the message exceeds the size limit")
             return None
         if end > self._maximum:
-            raise MessageTooLarge("a message is too long")
+            raise MessageTooLarge("the message exceeds the size limit")
         line = bytes(self._buffer[:end])
         del self._buffer[: end + 1]
         self._searched = 0
         if not line.endswith(_CARRIAGE_RETURN):
-            raise WireError("a line ends without a carriage return")
+            raise WireError("line without a carriage return before its line feed")
         return line[:-1].decode(ENCODING)
 
 
 def format_position(position: Position) -> str:
-    """TERM.NUMBER."""
+    """Encode a log position as TERM.NUMBER."""
     return f"{position.term}.{position.lsn}"
 
 
 def parse_position(text: str) -> Position | None:
-    """Read TERM.NUMBER; None for the sign of no position. Raises WireError."""
+    """Decode TERM.NUMBER; return None for the placeholder of a missing value. Raises WireError."""
     if text == NO_VALUE:
         return None
     term, _, number = text.partition(".")
     try:
         return Position(int(term), int(number))
     except ValueError as error:
-        raise WireError(f"not a position: {text!r}") from error
+        raise WireError(f"invalid log position: {text!r}") from error
--- a/src/orchidwind/platform/main.py
+++ b/src/orchidwind/platform/main.py
@@ -1,7 +1,7 @@
-"""One proxy process on the users' platform: the adapters, put together with the product.
+"""One proxy process on the users' platform: connects the platform's adapters to `ProxyRuntime`.
 
-For: `deploy/node.py`, which calls `main`. Owns the process: settings, listeners, signals, the
-planned stop. Relies on `ProxyRuntime` for all else and decides nothing itself.
+For: `deploy/node.py`, which calls `main`. Owns the process: settings, listeners, signals and the
+planned stop. Contains no proxy logic; that is in `ProxyRuntime`.
 """
 
 from __future__ import annotations
@@ -48,22 +48,23 @@
 from orchidwind.shared.logs import configure_logging, log_event
 from orchidwind.shared.settings import parse_address
 
-# Connections that may wait to be accepted. More than the callers of a zone that come back
-# at once after another proxy has stopped.
+# Length of the listen queue. It must exceed the number of callers of a zone, which all reconnect at
+# once when another proxy stops.
 _BACKLOG = 1024
-# Renewals of a directory entry that may be missing before it goes; the users' page PROTOCOL.md
-# sets it.
+# Number of missed renewals after which a directory entry is removed; defined by the users' page
+# PROTOCOL.md.
 _MISSED_HEARTBEATS = 3
-# The share of the time in which an API key may still be used that a proxy without a way to the
-# store is expected to serve for; the users' pages set it, under "The score".
-_OWED_WITHOUT_NEWS_SHARE = 0.6
-# The collector of cycles would stop requests for milliseconds. What lives as long as the
-# process is left out, and young objects are collected after so many allocations, not after 700.
+# A proxy without access to the store is expected to go on serving for this share of the time for
+# which a revoked API key may still be accepted; the users' pages define it, under "The score".
+_SERVING_WITHOUT_STORE_SHARE = 0.6
+# Collecting reference cycles would pause requests for milliseconds. Objects that live as long as
+# the process are frozen, and the youngest generation is collected after 20,000 allocations instead
+# of 700.
 _GC_THRESHOLDS = (20_000, 20, 50)
 
 
 class PlatformProxy:
-    """The process: listeners, the proxy, its planned stop."""
+    """The proxy process: its listeners, the proxy runtime and the planned stop."""
 
     def __init__(self, path: Path) -> None:
         self._path = path
@@ -72,7 +73,7 @@
         self._proxy = _proxy_runtime(self._settings)
 
     async def run(self) -> None:
-        """Serve until SIGTERM, then drain."""
+        """Serve until SIGTERM or SIGINT, then drain and stop."""
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGTERM, self._stop.set)
         loop.add_signal_handler(signal.SIGINT, self._stop.set)
@@ -98,7 +99,7 @@
         return callers, links
 
     async def _drain(self, callers: CallerListener, links: PeerListener) -> None:
-        """End the sessions, then the links, then this proxy's lead lease."""
+        """Drain the sessions, then close the peer links, then give up the leadership lease."""
         self._proxy.peer_service.leave()
         await self._proxy.registry.drain(self._settings.bounds.planned_stop_seconds)
         callers.stop()
@@ -108,7 +109,7 @@
         self._proxy.close()
 
     def _reload(self) -> None:
-        """The settings file changed; what runs keeps its addresses."""
+        """Read the settings file again; listeners that are open keep their addresses."""
         try:
             self._settings = load_platform_settings(self._path)
         except SettingsError as error:
@@ -147,17 +148,19 @@
 
 def _proxy_bounds(settings: PlatformSettings) -> ProxyBounds:
     bounds = settings.bounds
-    entry_outlives_ms = settings.instance_heartbeat_ms * _MISSED_HEARTBEATS
-    # A path that has come back is held to its own bound, which may be the shorter one.
+    entry_expiry_ms = settings.instance_heartbeat_ms * _MISSED_HEARTBEATS
+    # After contact to the store returns, `store_contact_ms` applies, which may be shorter.
     configuration_ms = min(bounds.configuration_ms, bounds.store_contact_ms)
     directory_ms = min(bounds.leaving_instance_ms, bounds.store_contact_ms)
     revocation = None
     if bounds.revocation_binds:
-        # Callers are served on without news of the store for the rest of that time.
-        configuration_ms = min(configuration_ms, bounds.revocation_ms * _OWED_WITHOUT_NEWS_SHARE)
+        # The rest of the revocation time is left for serving while the store is unreachable.
+        configuration_ms = min(
+            configuration_ms, bounds.revocation_ms * _SERVING_WITHOUT_STORE_SHARE
+        )
         revocation = bounds.revocation_ms / MILLISECONDS
     return ProxyBounds(
-        entry_outlives=entry_outlives_ms / MILLISECONDS,
+        entry_outlives=entry_expiry_ms / MILLISECONDS,
         configuration=configuration_ms / MILLISECONDS,
         directory=directory_ms / MILLISECONDS,
         revocation=revocation,
@@ -166,7 +169,7 @@
 
 
 def _own_member(settings: PlatformSettings) -> ProxyMember:
-    """This proxy as the others list it."""
+    """This proxy as it registers itself with the other proxies."""
     host, port = parse_address(settings.listen.peers)
     capacity = settings.limits.cpu_share * settings.limits.core_speed
     return ProxyMember(settings.proxy_name, settings.zone, host, port, capacity)
@@ -179,7 +182,7 @@
 
 
 def main() -> None:
-    """Entry point of the process; the settings file's path comes from the environment."""
+    """Entry point of the process; an environment variable holds the path of the settings file."""
     path = Path(os.environ[SETTINGS_VARIABLE])
     configure_logging("INFO", load_platform_settings(path).proxy_name)
     asyncio.run(_run(path))
--- a/src/orchidwind/platform/operator_pages.py
+++ b/src/orchidwind/platform/operator_pages.py
@@ -1,7 +1,7 @@
-"""The HTTP pages of one proxy: whether it is ready, its state, its figures.
+"""The HTTP pages of one proxy: readiness, status and metrics.
 
 For: the platform, which probes readiness, and operators. Owns the paths. Relies on the proxy for
-what it shows. It answers nothing but these three pages; another path is 404.
+the content. Any other path is answered with 404.
 """
 
 from __future__ import annotations
@@ -18,17 +18,17 @@
 
 
 class OperatorPages:
-    """Answers on each address that it listens on."""
+    """Serves the pages on one or more addresses."""
 
     def __init__(self, proxy: ProxyRuntime) -> None:
         self._proxy = proxy
 
     def listen(self, address: tuple[str, int]) -> None:
-        """Listen on (host, port); raises OSError where that is taken."""
+        """Listen on (host, port); raises OSError if the address is in use."""
         host, port = address
-        HTTPServer(self._answer).listen(port, host)
+        HTTPServer(self._handle_request).listen(port, host)
 
-    def _answer(self, request: HTTPServerRequest) -> None:
+    def _handle_request(self, request: HTTPServerRequest) -> None:
         if request.path == READY_PATH:
             ready = self._proxy.prepared and not self._proxy.registry.draining
             _respond(request, 200 if ready else 503, b"")
--- a/src/orchidwind/platform/promotions.py
+++ b/src/orchidwind/platform/promotions.py
@@ -1,7 +1,7 @@
-"""The platform's promotion call: its form, its answers, and what each of them proves.
+"""The platform's promotion service: encoding of the request, and the outcome of each response.
 
-For: `group/failover_runner.py`. Owns nothing. A call without an answer has an unknown outcome,
-which the runner settles by asking the instances.
+For: `group/failover_runner.py`. Keeps no state. The outcome of a call that was sent and got no
+response is unknown; the runner determines it from the status of the instances.
 """
 
 from __future__ import annotations
@@ -20,12 +20,12 @@
 )
 
 _PATH = "/promotions"
-_HOLDER = "Duty-Holder"
-_TOKEN = "Fencing-Token"
+_HOLDER_HEADER = "Duty-Holder"
+_TOKEN_HEADER = "Fencing-Token"
 
 
 class PromotionCall:
-    """Sends promotions in the name of this proxy."""
+    """Sends promotions on behalf of this proxy."""
 
     def __init__(
         self, address: tuple[str, int], proxy: str, on_silent: OnSilent = log_silent_connection
@@ -37,12 +37,15 @@
     async def promote(
         self, group: str, instance: str, token: int, seconds: float
     ) -> PromotionAnswer:
-        """Send one promotion; its connection is ended when its time has passed."""
+        """Send a promotion of `instance` with the fencing token `token`.
+
+        The connection is closed after `seconds` or PROMOTION_CALL_SECONDS, whichever is shorter.
+        """
         body = msgspec.json.encode({"service": group, "id": identity_of(instance)})
-        headers = {_HOLDER: self._proxy, _TOKEN: str(token)}
+        headers = {_HOLDER_HEADER: self._proxy, _TOKEN_HEADER: str(token)}
         request = HttpRequest(self._address, "POST", _PATH, body, headers)
         try:
-            answer = await http_call(request, min(seconds, PROMOTION_CALL_SECONDS))
+            response = await http_call(request, min(seconds, PROMOTION_CALL_SECONDS))
         except HttpCallFailed as error:
             if error.silent_for is not None:
                 self._on_silent(
@@ -52,11 +55,11 @@
                         error.open_for,
                         error.silent_for,
                         1,
-                        "it may have been done, statuses are asked",
+                        "the promotion may have taken effect; instance statuses are queried",
                         group,
                     )
                 )
             return PromotionAnswer.UNKNOWN if error.sent else PromotionAnswer.REFUSED
-        if 200 <= answer.status < 300:
+        if 200 <= response.status < 300:
             return PromotionAnswer.ACCEPTED
         return PromotionAnswer.REFUSED
--- a/src/orchidwind/platform/settings.py
+++ b/src/orchidwind/platform/settings.py
@@ -1,8 +1,8 @@
-"""The settings file that the platform lays for a process.
+"""The settings file that the platform provides for each process.
 
-For: `main`, and `orchidwind check`. Owns the keys of the file: they are decoded here into fields
-that say what they hold. Keys that are not named here are passed over. Times are in milliseconds
-where the field's name ends in `_ms`, else in seconds.
+For: `main`, and `orchidwind check`. Owns the keys of the file and maps them to descriptive field
+names. Other keys are ignored. Times are in milliseconds if the field's name ends in `_ms`, else in
+seconds.
 
 Source: the users' page DEPLOY.md.
 """
@@ -25,55 +25,58 @@
 
     callers: str = msgspec.field(name="front")
     readiness: str = msgspec.field(name="ready")
-    # Other proxies connect here; nothing controls this process through it.
+    # For connections of other proxies. Despite its key, it isn't used to control this process.
     peers: str = msgspec.field(name="control")
 
 
 class MachineLimits(msgspec.Struct, frozen=True):
-    """What the machine gives this process: a share of a core that is so many times as fast."""
+    """The CPU of this process: a share of one core, and the speed of that core."""
 
     cpu_share: float = 1.0
-    # No number of cores: how many times as fast the one core is.
+    # The relative speed of the one core. Despite its key, it isn't a number of cores.
     core_speed: float = msgspec.field(default=1.0, name="cpu_cores")
 
 
 class Bounds(msgspec.Struct, frozen=True):
-    """Bounds that the platform holds this process to; the defaults are the first users'."""
+    """Bounds that the platform requires of this process; defaults are those of the first users."""
 
-    # From SIGTERM to the end of the process, seconds.
+    # Seconds from SIGTERM to the end of the process.
     planned_stop_seconds: float = msgspec.field(default=6.0, name="grace_s")
-    # From the acknowledgement of a configuration until requests are handled by it.
+    # From the acknowledgement of a configuration until all requests are handled according to it.
     configuration_ms: float = msgspec.field(default=3000.0, name="config_apply_ms")
-    # From the acknowledgement that an instance leaves until it gets no more work. This process's
-    # own drain has `planned_stop_seconds`.
+    # From the acknowledgement that an instance is leaving until it gets no more work. The drain of
+    # this process itself is bounded by `planned_stop_seconds`.
     leaving_instance_ms: float = msgspec.field(default=7000.0, name="drain_ms")
-    # From the return of this machine's path to the store until both of the above hold again.
+    # From the return of contact between this machine and the store until the two bounds above hold
+    # again.
     store_contact_ms: float = msgspec.field(default=4000.0, name="contact_ms")
-    # Whether a key that was taken away is of no use after `revocation_ms`, whatever happens.
+    # Whether a revoked key must be rejected after `revocation_ms` in any case, even while the store
+    # is unreachable.
     revocation_binds: bool = msgspec.field(default=False, name="strict_revocation")
-    # From the acknowledgement of a configuration that takes an API key away.
+    # From the acknowledgement of a configuration that revokes an API key until no proxy accepts it.
     revocation_ms: float = msgspec.field(default=5000.0, name="revoke_ms")
-    # How far the operations of a tenant may exceed its quota in any window of so many seconds: by a
-    # share of what the quota allows in it, and by so many operations.
+    # How far the operations of a tenant may exceed its quota in any window of `quota_window_s`
+    # seconds: `quota_overshoot` is a share of what the quota allows in the window, `quota_slack` a
+    # number of operations on top of it.
     quota_window_s: float = 1.0
     quota_overshoot: float = 0.0
     quota_slack: float = 0.0
 
 
 class ServiceAddress(msgspec.Struct, frozen=True):
-    """Where a service of the platform listens, as HOST:PORT."""
+    """The address of a service of the platform, as HOST:PORT."""
 
     address: str
 
 
 class PlatformSettings(msgspec.Struct, frozen=True):
-    """What this process uses of the file."""
+    """The part of the settings file that this process uses."""
 
     proxy_name: str = msgspec.field(name="node_name")
     host: str = msgspec.field(name="ip")
     zone: str
     listen: ListenAddresses
-    # The first and the last port that are left free for this project.
+    # The first and the last port of the range reserved for this project.
     internal_ports: list[int] = msgspec.field(name="internal_port_range")
     store: ServiceAddress = msgspec.field(name="platform")
     promotions: ServiceAddress = msgspec.field(name="cloud_api")
@@ -84,7 +87,7 @@
 
 
 def load_platform_settings(path: Path) -> PlatformSettings:
-    """Read and check; raises SettingsError with file, key and reason."""
+    """Read and check the settings file; raises SettingsError with file, key and reason."""
     source = str(path)
     settings = decode_checked(
         source, lambda: msgspec.json.decode(path.read_bytes(), type=PlatformSettings)
--- a/src/orchidwind/platform/stored_objects.py
+++ b/src/orchidwind/platform/stored_objects.py
@@ -1,7 +1,7 @@
-"""The forms in which the platform's store holds and lists objects, and the paths to them.
+"""The JSON structures of the platform's store (objects, listings, events), and its paths.
 
-For: every module of this folder that reads or writes the store. Owns the wire names of the store's
-envelope; what an object holds (its `spec`) is decoded by the module that knows its kind. No I/O.
+For: every module of this folder that reads or writes the store. Owns the field names around an
+object's content; the content itself (`spec`) is decoded by the module of its kind. No I/O.
 
 Source: the users' page PROTOCOL.md, "The platform's metadata store".
 """
@@ -17,7 +17,7 @@
 from orchidwind.promoted.core.store_revision import StoreRevision
 from orchidwind.shared.core.errors import PlatformError
 
-# In a second.
+# Milliseconds per second.
 MILLISECONDS = 1000.0
 _OBJECTS = "/orchidwind/objects/"
 
@@ -25,14 +25,14 @@
 
 
 class Meta(msgspec.Struct):
-    """What the store keeps of each object. `revision` rises with each write in an era."""
+    """Metadata of an object. `revision` increases with each write within a store era."""
 
     name: str
     revision: int = 0
 
 
 class StoredObject(msgspec.Struct):
-    """One object; `spec` is its content, not decoded yet."""
+    """An object of the store; `spec` is its content, still encoded."""
 
     meta: Meta
     spec: msgspec.Raw = msgspec.Raw(b"null")
@@ -43,27 +43,27 @@
 
     items: list[StoredObject] = []
     has_more: bool = False
-    # The store's revision when the page was read: `at` is no time.
+    # The store's revision when the page was read. Despite its key, it isn't a time.
     revision: int = msgspec.field(default=0, name="at")
 
 
 class ObjectEvent(msgspec.Struct):
-    """A change of one object; with `gone` it was deleted."""
+    """A change of one object; `gone` is whether it was deleted."""
 
     object: StoredObject
     gone: bool = False
 
 
 class ObjectEvents(msgspec.Struct):
-    """The answer to a watch."""
+    """The response to a watch."""
 
     events: list[ObjectEvent] = []
-    # The revision up to which the events tell all: `at` is no time.
+    # All changes up to this revision are among the events. Despite its key, it isn't a time.
     revision: int = msgspec.field(default=0, name="at")
 
 
 class ObjectVersion(Struct, frozen=True):
-    """An object that is to be written: a new one, or one that has not changed since a revision."""
+    """The precondition of a write: the object is new, or still at `revision`."""
 
     kind: str
     name: str
@@ -72,16 +72,16 @@
 
 
 def decode(body: bytes, form: type[Form]) -> Form:
-    """What a body holds; raises PlatformError where it has another form."""
+    """Decode a body as type `form`; raises PlatformError if it doesn't match."""
     try:
         return msgspec.json.decode(body, type=form)
     except msgspec.DecodeError as error:
-        raise PlatformError(f"an answer of the store has another form: {error}") from error
+        raise PlatformError(f"invalid response of the store: {error}") from error
 
 
 def encode_object(name: str, spec: msgspec.Struct, revision: StoreRevision | None = None) -> bytes:
-    """The body of a write; with `revision` the store refuses it where the object has changed."""
-    # An empty list of finalizers: nobody else has to agree before the object can be deleted.
+    """The body of a write; with `revision`, the store rejects it if the object has changed."""
+    # Without finalizers, no other party has to agree before the object is deleted.
     meta: dict[str, Any] = {"name": name, "finalizers": []}
     if revision is not None:
         meta["revision"] = revision.in_era
@@ -99,6 +99,6 @@
 
 
 def kind_of(path: str) -> str:
-    """The kind of object that a path names."""
+    """The kind of object that a path refers to."""
     kind, _, _ = path.removeprefix(_OBJECTS).partition("?")
     return kind.partition("/")[0]
--- a/tests/platform/test_line_wire.py
+++ b/tests/platform/test_line_wire.py
@@ -106,16 +106,16 @@
 )
 def test_replies_of_instances(code, expected):
     reader = instance_lines.ReplyReader()
-    assert reader.take("DATAROW a b") is None
-    assert reader.take(f"ERROR {code} i-7") is None
-    reply = reader.take("READY E 3.1209")
+    assert reader.feed_line("DATAROW a b") is None
+    assert reader.feed_line(f"ERROR {code} i-7") is None
+    reply = reader.feed_line("READY E 3.1209")
     assert (reply.code, reply.state, reply.position) == (
         expected,
         TransactionState.FAILED,
         Position(3, 1209),
     )
-    assert reader.take("COMPLETE 7.1f3") is None
-    done = reader.take("READY I -")
+    assert reader.feed_line("COMPLETE 7.1f3") is None
+    done = reader.feed_line("READY I -")
     assert (done.code, done.signature, done.rows, done.position) == (
         ReplyCode.DONE,
         "7.1f3",
@@ -127,7 +127,7 @@
 @pytest.mark.parametrize("line", ["HELLO", "READY X 1.1", "READY I 1", "READY I a.b"])
 def test_an_instance_that_speaks_otherwise_is_an_error(line):
     with pytest.raises(line_format.WireError):
-        instance_lines.ReplyReader().take(line)
+        instance_lines.ReplyReader().feed_line(line)
 
 
 def test_status_of_an_instance():
