--- a/src/orchidwind/platform/callers.py
+++ b/src/orchidwind/platform/callers.py
@@ -23,8 +23,8 @@
 
 # Bytes per read of a socket: one TCP window. Longer messages take several reads.
 _READ_BYTES = 65536
-_MALFORMED = RequestError(ErrorKind.PROTOCOL_VIOLATION, "invalid protocol message")
-_TOO_LARGE = RequestError(ErrorKind.MESSAGE_TOO_LARGE, "the message exceeds the size limit")
+_MALFORMED = RequestError(ErrorKind.PROTOCOL_VIOLATION, "the message is not of this protocol")
+_TOO_LARGE = RequestError(ErrorKind.MESSAGE_TOO_LARGE, "the message is too long")
 
 
 class CallerListener(TCPServer):
@@ -128,9 +128,7 @@
 
     async def _refusal(self, message: caller_lines.Startup) -> RequestError | None:
         if not await self._proxy.wait_prepared(FIRST_CONFIGURATION_SECONDS):
-            return RequestError(
-                ErrorKind.NO_HOME, "this proxy has not received a configuration yet"
-            )
+            return RequestError(ErrorKind.NO_HOME, "no configuration is known yet")
         if self._proxy.database(message.database) is None:
             return RequestError(ErrorKind.UNKNOWN_DATABASE, message.database)
         try:
--- a/src/orchidwind_standins/__init__.py
+++ b/src/orchidwind_standins/__init__.py
@@ -1,1 +1,1 @@
-"""Programs that take the place of PostgreSQL and of the platform in tests and trials."""
+"""Stand-ins for PostgreSQL and for the platform's services, used in tests and trials."""
--- a/src/orchidwind_standins/platform/__init__.py
+++ b/src/orchidwind_standins/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Programs in the place of instances and of the store of promoted groups."""
+"""Stand-ins for the platform's database instances, object store and promotion service."""
--- a/src/orchidwind_standins/platform/line_session.py
+++ b/src/orchidwind_standins/platform/line_session.py
@@ -1,7 +1,8 @@
-"""One connection to a stand-in instance: the line protocol.
+"""The server side of the line protocol: one connection to a stand-in instance.
 
-Source: the users' page PROTOCOL.md, "The wire" and "Instances". Rows are the data last written to a
-thing. Owns a connection's prepared statements and transaction; relies on an instance for the rest.
+Source: the users' page PROTOCOL.md, "The wire" and "Instances". A READ returns one row: the data
+last written to the given key (a "thing" in the protocol's terms). Owns the prepared statements and
+the transaction of the connection; relies on the instance for the rest.
 """
 
 from __future__ import annotations
@@ -18,29 +19,29 @@
 
 
 class LineSettings(Protocol):
-    """Who an instance is, and how many connections it takes."""
+    """The identity of an instance and its limit of connections."""
 
     @property
     def name(self) -> str:
-        """Its name, which a caller may give."""
+        """The name of the instance, which a startup message may contain."""
 
     @property
     def service(self) -> str:
-        """The service that it belongs to, which a caller has to give."""
+        """The service (group) of the instance, which a startup message must contain."""
 
     @property
     def maximum_connections(self) -> int:
-        """More connections are refused."""
+        """The number of open connections from which on new ones are refused."""
 
 
 class LineInstance(Protocol):
-    """What a connection asks of its instance; positions are a term and a number."""
+    """The instance as a connection uses it. Log positions are a term and a number."""
 
     connections: int
 
     @property
     def settings(self) -> LineSettings:
-        """Who it is."""
+        """The identity and limits of the instance."""
 
     @property
     def role(self) -> str:
@@ -48,47 +49,47 @@
 
     @property
     def position(self) -> str:
-        """TERM.NUMBER."""
+        """The end of the instance's log as TERM.NUMBER."""
 
     @property
     def busy(self) -> bool:
-        """Whether it refuses all statements now."""
+        """Whether the instance currently rejects all statements with BUSY."""
 
     @property
     def things(self) -> Mapping[str, str]:
-        """The data last written, by thing."""
+        """The data last written, by key."""
 
     @property
-    def speaks(self) -> asyncio.Event:
-        """While this is not set, statements are taken and run, and no answer is sent."""
+    def answers_enabled(self) -> asyncio.Event:
+        """While cleared, statements are received and executed but no answer is sent."""
 
     def lacks(self, term: int, number: int) -> bool:
-        """Whether it lacks a position."""
+        """Whether the log doesn't reach a position."""
 
     async def commit(self, writes: Sequence[tuple[str, str]]) -> bool:
-        """Commit writes; whether they were replicated."""
+        """Commit (key, data) pairs; return whether the commit was replicated."""
 
     def pause(self, term: int) -> None:
-        """Receive from no primary below a term."""
+        """Fence the instance: accept no log from a primary below a term."""
 
     def resume(self) -> None:
-        """Receive again."""
+        """Lift the fence."""
 
     def demote(self, term: int) -> None:
-        """Turn a primary of a lower term into a replica."""
+        """Become a replica if the instance is a primary of a lower term."""
 
     def status_row(self) -> str:
-        """Role, term, position, term held, lag, busy, connections."""
+        """The status row: role, term, position, fence term, lag, busy, connections."""
 
 
 class LineSession:
-    """Answers the statements of one connection in order."""
+    """Answers the statements of one connection, one after the other."""
 
     def __init__(self, instance: LineInstance) -> None:
         self._instance = instance
-        # While this is set, what comes is taken, and neither run nor answered.
-        self.swallows = False
-        # Who the connection belongs to, as its first line said.
+        # While set, statements are received but neither executed nor answered.
+        self.discards_statements = False
+        # The tenant of the connection, from its startup message.
         self.tenant = ""
         self._prepared: dict[str, str] = {}
         self._transaction: list[tuple[str, str]] | None = None
@@ -98,7 +99,7 @@
     async def serve(
         self, first: bytes, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Serve a connection whose first line was read; it ends with the connection."""
+        """Serve a connection until it ends; `first` is its first line, which was already read."""
         instance = self._instance
         words = first.rstrip(b"\r\n").decode("latin-1").split(" ")
         self.tenant = " ".join(words[2:3])
@@ -110,12 +111,12 @@
         try:
             writer.write(f"READY I {instance.position}\r\n".encode())
             while line := (await reader.readline()).rstrip(b"\r\n").decode("latin-1"):
-                if self.swallows:
+                if self.discards_statements:
                     continue
                 if line == "TERMINATE":
                     return
                 answer = await self._answer(line)
-                await instance.speaks.wait()
+                await instance.answers_enabled.wait()
                 writer.write(answer.encode("latin-1"))
         finally:
             instance.connections -= 1
@@ -143,17 +144,17 @@
             return self._control(word, rest)
         if word == "RESET":
             self._prepared.clear()
-            return self._done()
+            return self._complete()
         if word == "SET":
-            return self._done()
+            return self._complete()
         if word == "PREPARE":
             name, access, _ = rest.split(" ", 2)
             self._prepared[name] = access
-            return self._done()
+            return self._complete()
         if word == "BEGIN":
-            return self._begin(rest == "READ")
+            return self._begin_transaction(rest == "READ")
         if word in ("COMMIT", "ROLLBACK"):
-            return await self._end(request_id, word)
+            return await self._end_transaction(request_id, word)
         return await self._statement(request_id, word, rest)
 
     def _error(self, code: str, fails: bool = True) -> str:
@@ -165,7 +166,7 @@
         state = _READY_STATES[self._failed if self._transaction is not None else None]
         return f"READY {state} {self._instance.position}\r\n"
 
-    def _done(self, rows: tuple[str, ...] = (), signature: str = "-") -> str:
+    def _complete(self, rows: tuple[str, ...] = (), signature: str = "-") -> str:
         lines = [f"DATAROW {row}\r\n" for row in rows]
         return "".join([*lines, f"COMPLETE {signature}\r\n", self._ready()])
 
@@ -177,28 +178,28 @@
             instance.resume()
         elif word == "DEMOTE":
             instance.demote(int(rest))
-        return self._done((instance.status_row(),))
+        return self._complete((instance.status_row(),))
 
-    def _begin(self, read_only: bool) -> str:
+    def _begin_transaction(self, read_only: bool) -> str:
         if not read_only and self._instance.role != PRIMARY:
             return self._error("READONLY")
         self._transaction, self._read_only, self._failed = [], read_only, False
-        return self._done()
+        return self._complete()
 
-    async def _end(self, request_id: str, word: str) -> str:
+    async def _end_transaction(self, request_id: str, word: str) -> str:
         writes, self._transaction = self._transaction, None
         if word == "ROLLBACK" or self._failed:
-            return self._done()
+            return self._complete()
         if writes:
             if self._instance.role != PRIMARY:
                 return self._error("READONLY")
             if not await self._instance.commit(writes):
                 return self._error("TIMEOUT")
-        self._note_run(request_id, word)
-        return self._done((), f"signed-{request_id}")
+        self._on_executed(request_id, word)
+        return self._complete((), f"signed-{request_id}")
 
-    def _note_run(self, request_id: str, text: str) -> None:
-        """A statement runs, or a transaction was committed; for those who record it."""
+    def _on_executed(self, request_id: str, text: str) -> None:
+        """Hook for subclasses: a statement is executed, or a transaction was committed."""
 
     async def _statement(self, request_id: str, word: str, rest: str) -> str:
         if word == "EXECUTE":
@@ -206,17 +207,17 @@
             if name not in self._prepared:
                 return self._error("NOSTMT")
             word = self._prepared[name]
-        lost = self._transaction is not None and not self._read_only
-        if (word != "READ" or lost) and self._instance.role != PRIMARY:
+        needs_primary = self._transaction is not None and not self._read_only
+        if (word != "READ" or needs_primary) and self._instance.role != PRIMARY:
             return self._error("READONLY")
-        thing, _, data = rest.partition(" ")
-        self._note_run(request_id, f"{word} {rest}")
+        key, _, data = rest.partition(" ")
+        self._on_executed(request_id, f"{word} {rest}")
         if word == "READ":
-            row = self._instance.things.get(thing, "none")
-            return self._done((row,), f"signed-{request_id}")
+            row = self._instance.things.get(key, "none")
+            return self._complete((row,), f"signed-{request_id}")
         if self._transaction is not None:
-            self._transaction.append((thing, data))
-            return self._done((), f"signed-{request_id}")
-        if not await self._instance.commit([(thing, data)]):
+            self._transaction.append((key, data))
+            return self._complete((), f"signed-{request_id}")
+        if not await self._instance.commit([(key, data)]):
             return self._error("TIMEOUT")
-        return self._done((), f"signed-{request_id}")
+        return self._complete((), f"signed-{request_id}")
--- a/src/orchidwind_standins/platform/memory_group.py
+++ b/src/orchidwind_standins/platform/memory_group.py
@@ -1,8 +1,8 @@
-"""A group of stand-in instances in memory: replicas receive each commit at once, on loopback TCP.
+"""A group of stand-in instances in one process, served on loopback TCP; replication is immediate.
 
-For tests of one or two proxies on sockets, where lag and elections are not the subject; the group
-that replicates between processes is in `replicated_instance`. Both answer by the same
-`LineSession`. A fenced replica receives nothing.
+For tests of one or two proxies on real sockets that don't depend on replication lag or elections.
+The group that replicates between processes is in `replicated_instance`. Both use `LineSession`. A
+fenced replica receives no commits of primaries below the term of its fence.
 """
 
 from __future__ import annotations
@@ -13,13 +13,13 @@
 
 from orchidwind_standins.platform.line_session import PRIMARY, REPLICA, LineSession
 
-# The longest line that is read, in bytes. Chosen: tests send statements of half a megabyte.
+# Size limit of a line in bytes; tests send statements of half a megabyte.
 _LINE_BYTES = 4 * 1024 * 1024
 
 
 @dataclass(frozen=True, slots=True)
 class MemorySettings:
-    """Who an instance is. Chosen: more connections than any test's proxies may open."""
+    """The identity of an instance, and a limit above what the proxies of any test may open."""
 
     name: str
     service: str
@@ -30,9 +30,10 @@
 class MemoryInstance:
     """One instance: its role, data and faults.
 
-    `ran` has the request ids and texts that were run, in their order, `ran_for` the tenant of each
-    request id's connection. `answer_with` is an error
-    code that the next statement of a caller is answered with, once.
+    `ran` holds the request id and the text of each executed statement in order, and `ran_for` the
+    tenant of the connection by request id. `next_error_code` is returned once, for the next
+    statement of a caller. `confirm` replicates a commit and returns whether a replica received it;
+    `on_role` is called after a change of role.
     """
 
     settings: MemorySettings
@@ -45,72 +46,72 @@
     things: dict[str, str] = field(default_factory=dict)
     ran: list[tuple[str, str]] = field(default_factory=list)
     ran_for: dict[str, str] = field(default_factory=dict)
-    answer_with: str = ""
+    next_error_code: str = ""
     sessions: dict[LineSession, asyncio.StreamWriter] = field(default_factory=dict)
-    # While this is not set, statements are taken and run, and no answer is sent.
-    speaks: asyncio.Event = field(default_factory=asyncio.Event)
+    # While cleared, statements are received and executed but no answer is sent.
+    answers_enabled: asyncio.Event = field(default_factory=asyncio.Event)
     busy: bool = False
     connections: int = 0
 
     def __post_init__(self) -> None:
-        self.speaks.set()
+        self.answers_enabled.set()
 
     @property
     def name(self) -> str:
-        """Its name in the directory."""
+        """The name of the instance in the directory."""
         return self.settings.name
 
     @property
     def position(self) -> str:
-        """TERM.NUMBER."""
+        """The end of the instance's log as TERM.NUMBER."""
         return f"{self.term}.{self.number}"
 
     def lacks(self, term: int, number: int) -> bool:
-        """Whether a position was not reached."""
+        """Whether the log doesn't reach a position."""
         return (term, number) > (self.term, self.number)
 
     async def commit(self, writes: Sequence[tuple[str, str]]) -> bool:
-        """Commit writes as the next number; whether a replica received them."""
+        """Commit writes at the next number; return whether a replica received them."""
         self.things.update(writes)
         self.number += 1
         return self.confirm(self)
 
     def follow(self, leader: MemoryInstance) -> None:
-        """Hold what the leader holds, and nothing else."""
+        """Replace data, term and position by those of the primary `leader`, and lift the fence."""
         self.term, self.number = leader.term, leader.number
         self.things = dict(leader.things)
         self.fence = 0
 
     def pause(self, term: int) -> None:
-        """Receive from no primary below a term."""
+        """Fence the instance: accept no log from a primary below a term."""
         self.fence = term
 
     def resume(self) -> None:
-        """Receive again."""
+        """Lift the fence."""
         self.fence = 0
 
     def demote(self, term: int) -> None:
-        """Turn a primary of a lower term into a replica."""
+        """Become a replica if the instance is a primary of a lower term."""
         if self.role == PRIMARY and self.term < term:
             self.role = REPLICA
             self.on_role(self)
 
     def status_row(self) -> str:
-        """Role, term, position, term held, lag, busy, connections."""
+        """The status row: role, term, position, fence term, lag, busy, connections."""
         return f"{self.role} {self.term} {self.position} {self.fence} 0 0 {self.connections}"
 
-    def silence_open(self) -> None:
-        """All open connections fall silent for good; new ones work."""
+    def silence_connections(self) -> None:
+        """Make all open connections silent for good; new ones are served."""
         for session in self.sessions:
-            session.swallows = True
+            session.discards_statements = True
 
     def close_all(self) -> None:
-        """End all connections."""
+        """Close all connections."""
         for writer in self.sessions.values():
             writer.close()
 
     async def listen(self, host: str, port: int) -> asyncio.Server:
-        """Serve on a port until the server is closed."""
+        """Start a server on an address and return it."""
         return await asyncio.start_server(self._serve, host, port, limit=_LINE_BYTES)
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -119,8 +120,8 @@
         try:
             await session.serve(await reader.readline(), reader, writer)
         except (ConnectionError, asyncio.CancelledError):
-            # The connection was closed, or the test has ended; the stream server asks each handler
-            # for its exception, and a cancelled one has none.
+            # The connection was closed, or the test has ended. The cancellation is suppressed since
+            # the stream server asks each handler for its exception, which a cancelled one lacks.
             pass
         finally:
             del self.sessions[session]
@@ -128,26 +129,29 @@
 
 
 class _RecordingSession(LineSession):
-    """Notes what runs, and answers as the instance's faults say."""
+    """Records executed statements, and returns the error that the instance was set up with."""
 
     def __init__(self, instance: MemoryInstance) -> None:
         super().__init__(instance)
-        self._faulty = instance
+        self._memory_instance = instance
 
     async def _answer(self, line: str) -> str:
-        code = self._faulty.answer_with
+        code = self._memory_instance.next_error_code
         if code and line.split(" ")[1] != "-":
-            self._faulty.answer_with = ""
+            self._memory_instance.next_error_code = ""
             return self._error(code, fails=code != "BUSY")
         return await super()._answer(line)
 
-    def _note_run(self, request_id: str, text: str) -> None:
-        self._faulty.ran.append((request_id, text))
-        self._faulty.ran_for[request_id] = self.tenant
+    def _on_executed(self, request_id: str, text: str) -> None:
+        self._memory_instance.ran.append((request_id, text))
+        self._memory_instance.ran_for[request_id] = self.tenant
 
 
 class MemoryGroup:
-    """The instances of one group. `on_role` is called after each change of role."""
+    """The instances of one group; the first name is the primary.
+
+    `on_role` is called after each change of role.
+    """
 
     def __init__(self, service: str, names: tuple[str, ...]) -> None:
         self.service = service
@@ -158,7 +162,7 @@
         self.instances[names[0]].role = PRIMARY
 
     def add(self, name: str) -> MemoryInstance:
-        """One more replica."""
+        """Add a replica to the group and return it."""
         instance = MemoryInstance(
             MemorySettings(name, self.service), REPLICA, self.confirm, self._role_changed
         )
@@ -169,7 +173,7 @@
         self.on_role(instance)
 
     def confirm(self, leader: MemoryInstance) -> bool:
-        """Ship a commit; whether one replica received it."""
+        """Copy the state of `leader` to all replicas that accept it; return whether any did."""
         received = 0
         for item in self.instances.values():
             follows = item.role == REPLICA and max(item.term, item.fence) <= leader.term
@@ -179,11 +183,11 @@
         return received > 0
 
     def promote(self, name: str) -> bool:
-        """An instance leads the next term."""
-        chosen = self.instances[name]
-        if chosen.role != PRIMARY:
-            chosen.term = max(item.term for item in self.instances.values()) + 1
-            chosen.role = PRIMARY
-            chosen.fence = 0
-            self.on_role(chosen)
+        """Make an instance the primary of the next term; always returns True."""
+        promoted = self.instances[name]
+        if promoted.role != PRIMARY:
+            promoted.term = max(item.term for item in self.instances.values()) + 1
+            promoted.role = PRIMARY
+            promoted.fence = 0
+            self.on_role(promoted)
         return True
--- a/src/orchidwind_standins/platform/object_store.py
+++ b/src/orchidwind_standins/platform/object_store.py
@@ -1,4 +1,4 @@
-"""A stand-in of the users' object store and promotion service: HTTP, objects in memory.
+"""A stand-in for the users' object store and promotion service: HTTP, objects in memory.
 
 Source: the users' page PROTOCOL.md, "The platform's metadata store" and "Singleton duties".
 """
@@ -18,7 +18,7 @@
 _HISTORY_EVENTS = 500
 _PAGE_ITEMS = 100
 
-# Kinds that operators and instances write; they write again what a return of the store has lost.
+# Kinds written by operators and instances, which write lost objects again after a restore.
 _PUBLISHED_KINDS = ("servers", "config")
 _ERA_HEADER = "Store-Era"
 
@@ -33,8 +33,8 @@
     created: int
     spec: Any
 
-    def form(self) -> dict[str, Any]:
-        """The object as it goes over the wire."""
+    def document(self) -> dict[str, Any]:
+        """The JSON structure of the object on the wire."""
         meta = {
             "name": self.name,
             "revision": self.revision,
@@ -49,13 +49,13 @@
 class _Event:
     revision: int
     kind: str
-    form: dict[str, Any]
+    document: dict[str, Any]
     gone: bool
 
 
 @dataclass(frozen=True, slots=True)
 class StoreCopy:
-    """What the store held at some time."""
+    """A copy of the store's content at one time, which it can be restored from."""
 
     revision: int
     objects: dict[ObjectKey, _Object]
@@ -63,10 +63,14 @@
 
 @dataclass(slots=True)
 class StoreState:
-    """All objects, the history, and the faults that are on.
-
-    `era`: how often the store has come back from a copy. `on_listed` is called with the kind after
-    each page of a listing was sent.
+    """All objects, the history of changes, and the active faults.
+
+    `era` counts how often the store was restored from a copy. `on_listed` is called with the kind
+    after each page of a listing was sent. `dropped_revision` is the revision up to which the
+    history was dropped. `refuse_with` is the HTTP status of all responses, 0 if calls are served.
+    With `lose_answers`, calls other than GET are executed and their connection is closed without an
+    answer. `promotions` holds service, instance, holder and fencing token of each promotion, and
+    `on_promotion` decides whether it is accepted.
     """
 
     revision: int = 1
@@ -74,64 +78,64 @@
     on_listed: Callable[[str], None] = lambda kind: None
     objects: dict[ObjectKey, _Object] = field(default_factory=dict)
     history: deque[_Event] = field(default_factory=lambda: deque(maxlen=_HISTORY_EVENTS))
-    forgotten: int = 0
+    dropped_revision: int = 0
     refuse_with: int = 0
     lose_answers: bool = False
     silent: bool = False
-    silences: int = 0
+    silence_count: int = 0
     promotions: list[tuple[str, str, str, int]] = field(default_factory=list)
     on_promotion: OnPromotion = lambda group, instance: True
     changed: asyncio.Event = field(default_factory=asyncio.Event)
 
     def fall_silent(self) -> None:
-        """Take calls, answer none; those taken by then or meanwhile are never answered."""
+        """Accept calls without ever answering them, including those in progress."""
         self.silent = True
-        self.silences += 1
+        self.silence_count += 1
 
     def speak_again(self) -> None:
-        """Answer calls that come from now on."""
+        """Answer calls that arrive from now on."""
         self.silent = False
 
     def put(self, kind: str, name: str, spec: Any) -> _Object:
         """Create or replace an object."""
         self.revision += 1
-        held = self.objects.get((kind, name))
-        created = held.created if held else self.revision
+        current = self.objects.get((kind, name))
+        created = current.created if current else self.revision
         item = _Object(name, self.revision, created, spec)
         self.objects[(kind, name)] = item
-        self._note(_Event(self.revision, kind, item.form(), gone=False))
+        self._record_event(_Event(self.revision, kind, item.document(), gone=False))
         return item
 
     def remove(self, kind: str, name: str) -> bool:
-        """Delete an object; whether it was there."""
+        """Delete an object; return whether it existed."""
         item = self.objects.pop((kind, name), None)
         if item is None:
             return False
         self.revision += 1
-        self._note(_Event(self.revision, kind, item.form(), gone=True))
+        self._record_event(_Event(self.revision, kind, item.document(), gone=True))
         return True
 
     def forget_history(self) -> None:
-        """Drop the history: older watches get 410."""
+        """Drop the history: a watch from an earlier revision is answered with 410."""
         self.history.clear()
-        self.forgotten = self.revision
+        self.dropped_revision = self.revision
         self.changed.set()
         self.changed = asyncio.Event()
 
     def copy(self) -> StoreCopy:
-        """What the store holds now; objects are never changed in place."""
+        """Copy the current content; a shallow copy, as objects are never changed in place."""
         return StoreCopy(self.revision, dict(self.objects))
 
     def come_back_from(self, copy: StoreCopy) -> dict[ObjectKey, Any]:
-        """Hold what a copy held: later changes are lost, and their revisions given out again.
+        """Restore the store from a copy; later changes are lost and their revisions assigned again.
 
-        Waiting calls are cut. Returns what operators and instances wrote since, for them to write
-        again.
+        Calls in progress are cut off without an answer. Returns the lost objects of operators and
+        instances, so that the caller can have them written again.
         """
         lost = {
-            key: held.spec
-            for key, held in self.objects.items()
-            if key[0] in _PUBLISHED_KINDS and copy.objects.get(key) != held
+            key: current.spec
+            for key, current in self.objects.items()
+            if key[0] in _PUBLISHED_KINDS and copy.objects.get(key) != current
         }
         self.era += 1
         self.revision = copy.revision
@@ -142,59 +146,61 @@
         self.changed = asyncio.Event()
         return lost
 
-    def _note(self, event: _Event) -> None:
+    def _record_event(self, event: _Event) -> None:
         self.history.append(event)
         self.changed.set()
         self.changed = asyncio.Event()
 
     def events_after(self, kind: str, revision: int) -> list[_Event]:
-        """Events of a kind after a revision."""
+        """The changes of objects of a kind after a revision."""
         return [item for item in self.history if item.revision > revision and item.kind == kind]
 
 
 class _Handler(tornado.web.RequestHandler):
+    """Base of all handlers: applies the active faults to a call and its answer."""
+
     state: StoreState
 
     def initialize(self, state: StoreState) -> None:
-        """Take the store."""
+        """Keep the state that the application passes to each handler."""
         self.state = state
 
     def prepare(self) -> None:
-        """Refuse everything while that fault is on."""
-        self._silences_before = self.state.silences
-        self._taken_in_silence = self.state.silent
-        self._era_before = self.state.era
+        """Note the state at the start of the call; reject it while `refuse_with` is set."""
+        self._silence_count_at_start = self.state.silence_count
+        self._received_while_silent = self.state.silent
+        self._era_at_start = self.state.era
         if self.state.refuse_with:
             self.set_status(self.state.refuse_with)
             self.set_header(_ERA_HEADER, str(self.state.era))
             self.finish()
 
-    def answer(self, status: int, form: object) -> None:
-        """End with a body, or break off where answers are lost, or say nothing at all."""
-        if self._taken_in_silence or self._silences_before != self.state.silences:
+    def answer(self, status: int, document: object) -> None:
+        """Send the answer, unless a fault closes the connection or keeps it silent."""
+        if self._received_while_silent or self._silence_count_at_start != self.state.silence_count:
             self._auto_finish = False
             return
-        returned = self._era_before != self.state.era
-        if returned or (self.state.lose_answers and self.request.method != "GET"):
+        restored = self._era_at_start != self.state.era
+        if restored or (self.state.lose_answers and self.request.method != "GET"):
             self.detach().close()
             return
         self.set_status(status)
         self.set_header(_ERA_HEADER, str(self.state.era))
         self.set_header("Content-Type", "application/json")
-        self.finish(msgspec.json.encode(form))
+        self.finish(msgspec.json.encode(document))
 
     def body(self) -> dict[str, Any]:
-        """The call's body."""
-        form = msgspec.json.decode(self.request.body)
-        assert isinstance(form, dict)
-        return form
+        """Decode the body of the call."""
+        document = msgspec.json.decode(self.request.body)
+        assert isinstance(document, dict)
+        return document
 
 
 class _KindHandler(_Handler):
     """`/orchidwind/objects/KIND`: list, watch, create."""
 
     async def get(self, kind: str) -> None:
-        """List, or wait for changes."""
+        """List the objects, or wait for changes if the query has `watch`."""
         watch = self.get_query_argument("watch", "")
         if watch:
             await self._watch(kind, int(watch))
@@ -202,14 +208,14 @@
         after = self.get_query_argument("after", "")
         names = sorted(name for key, name in self.state.objects if key == kind and name > after)
         page = names[:_PAGE_ITEMS]
-        items = [self.state.objects[(kind, name)].form() for name in page]
+        items = [self.state.objects[(kind, name)].document() for name in page]
         more = len(names) > len(page)
         self.answer(200, {"items": items, "has_more": more, "at": self.state.revision})
         self.state.on_listed(kind)
 
     async def _watch(self, kind: str, revision: int) -> None:
         state = self.state
-        if not state.forgotten <= revision <= state.revision:
+        if not state.dropped_revision <= revision <= state.revision:
             self.answer(410, {})
             return
         seconds = int(self.get_query_argument("wait_ms", "1000")) / 1000.0
@@ -220,24 +226,24 @@
                     await state.changed.wait()
             except TimeoutError:
                 break
-            if not state.forgotten <= revision <= state.revision:
+            if not state.dropped_revision <= revision <= state.revision:
                 self.answer(410, {})
                 return
-        # Looked for anew: `at` must not be later than what is told, and something may have been
-        # written since the wait has ended.
+        # The events are read again together with the revision: a change may have been written after
+        # the wait ended, and all changes up to `at` must be among the events.
         events = state.events_after(kind, revision)
-        forms = [{"object": event.form, "gone": event.gone} for event in events]
-        self.answer(200, {"events": forms, "at": state.revision})
+        documents = [{"object": event.document, "gone": event.gone} for event in events]
+        self.answer(200, {"events": documents, "at": state.revision})
 
     def post(self, kind: str) -> None:
         """Create an object."""
-        form = self.body()
-        name = form["meta"]["name"]
-        held = self.state.objects.get((kind, name))
-        if held is not None:
-            self.answer(409, held.form())
+        document = self.body()
+        name = document["meta"]["name"]
+        current = self.state.objects.get((kind, name))
+        if current is not None:
+            self.answer(409, current.document())
             return
-        self.answer(201, self.state.put(kind, name, form["spec"]).form())
+        self.answer(201, self.state.put(kind, name, document["spec"]).document())
 
 
 class _ObjectHandler(_Handler):
@@ -245,24 +251,24 @@
 
     def get(self, kind: str, name: str) -> None:
         """Read one object."""
-        held = self.state.objects.get((kind, name))
-        self.answer(404 if held is None else 200, {} if held is None else held.form())
+        current = self.state.objects.get((kind, name))
+        self.answer(404 if current is None else 200, {} if current is None else current.document())
 
     def put(self, kind: str, name: str) -> None:
-        """Replace one, if the revision named is the object's."""
-        form = self.body()
-        held = self.state.objects.get((kind, name))
-        if held is None:
+        """Replace an object; 409 if the body names another revision than the object has."""
+        document = self.body()
+        current = self.state.objects.get((kind, name))
+        if current is None:
             self.answer(404, {})
             return
-        named = form["meta"].get("revision")
-        if named is not None and named != held.revision:
-            self.answer(409, held.form())
+        named = document["meta"].get("revision")
+        if named is not None and named != current.revision:
+            self.answer(409, current.document())
             return
-        self.answer(200, self.state.put(kind, name, form["spec"]).form())
+        self.answer(200, self.state.put(kind, name, document["spec"]).document())
 
     def delete(self, kind: str, name: str) -> None:
-        """Delete one."""
+        """Delete an object."""
         self.answer(200 if self.state.remove(kind, name) else 404, {})
 
 
@@ -270,17 +276,17 @@
     """`POST /promotions`."""
 
     def post(self) -> None:
-        """Take a promotion."""
-        form = self.body()
+        """Record a promotion and pass it to `on_promotion`."""
+        document = self.body()
         holder = self.request.headers["Duty-Holder"]
         token = int(self.request.headers["Fencing-Token"])
-        self.state.promotions.append((form["service"], form["id"], holder, token))
-        taken = self.state.on_promotion(form["service"], form["id"])
-        self.answer(200 if taken else 409, {})
+        self.state.promotions.append((document["service"], document["id"], holder, token))
+        accepted = self.state.on_promotion(document["service"], document["id"])
+        self.answer(200 if accepted else 409, {})
 
 
 def listen(state: StoreState, host: str, port: int) -> HTTPServer:
-    """Open the store and the promotion service on one address."""
+    """Serve the store and the promotion service on one address."""
     arguments = {"state": state}
     application = tornado.web.Application(
         [
--- a/src/orchidwind_standins/platform/replicated_log.py
+++ b/src/orchidwind_standins/platform/replicated_log.py
@@ -1,7 +1,7 @@
-"""The log of a stand-in instance and the journal that it is kept in.
+"""The log of a stand-in instance and the journal file that stores it.
 
-A journal is a file of JSON lines that is only appended to. Each line carries the time of the steady
-clock, which all processes of a machine share, so that the log at any moment can be read later.
+A journal is an append-only file of JSON lines. Each line has a time of the monotonic clock, which
+all processes of a machine share, so that the state of the log at any time can be reconstructed.
 """
 
 from __future__ import annotations
@@ -16,17 +16,18 @@
 
 
 class LogEntry(msgspec.Struct, frozen=True):
-    """One commit: the term that it was made in, and its writes as pairs of thing and data."""
+    """One commit: its term, and its writes as pairs of key and data."""
 
     term: int
     writes: tuple[tuple[str, str], ...]
 
 
 class JournalLine(msgspec.Struct, frozen=True, omit_defaults=True):
-    """What happened at a time: entries came, a tail was dropped, a role or term was taken.
+    """An event: entries were appended, the tail was dropped, or the role or term changed.
 
-    `keep` is how many entries stay, -1 where none is dropped. `acknowledged` is the number of a
-    commit whose answer was sent. `note` is for readers of a trace.
+    `at` is the time in seconds. `keep` is the number of entries that remain, -1 if none is dropped.
+    `led` marks a promotion. `acknowledged` is the number of a commit that was acknowledged to its
+    caller. `note` is a remark for people who read the journal.
     """
 
     at: float
@@ -40,7 +41,7 @@
 
 
 class Journal:
-    """Appends to the file of one instance; what was written survives the end of the process."""
+    """Appends to the file of one instance, unbuffered: lines survive a kill of the process."""
 
     def __init__(self, path: Path) -> None:
         self._file = path.open("ab", buffering=0)
@@ -64,7 +65,7 @@
 
 
 def read_journal(path: Path) -> Iterator[JournalLine]:
-    """All whole lines; the last one may have been cut by a kill."""
+    """Yield all complete lines; the last one may be incomplete if the process was killed."""
     if not path.exists():
         return
     for line in path.read_bytes().split(b"\n")[:-1]:
@@ -72,7 +73,7 @@
 
 
 class KeptState:
-    """What a journal holds: log, term, role. Lines are taken one by one."""
+    """The log, term and role after the lines of a journal that were applied."""
 
     def __init__(self) -> None:
         self.log: list[LogEntry] = []
@@ -97,7 +98,7 @@
 
 
 def runs_of(log: Sequence[LogEntry]) -> Runs:
-    """The terms of a log's entries in order, each with the number of its entries."""
+    """The terms of a log in order, each with the number of its consecutive entries."""
     runs: Runs = []
     for entry in log:
         if runs and runs[-1][0] == entry.term:
@@ -108,7 +109,10 @@
 
 
 def common_length(one: Sequence[Sequence[int]], other: Sequence[Sequence[int]]) -> int:
-    """How many entries two logs share: one term has one primary, so term and number name one."""
+    """The number of leading entries that two logs share, given their runs (see `runs_of`).
+
+    A term has one primary, so term and number identify an entry.
+    """
     shared = 0
     for (term, count), (other_term, other_count) in zip(one, other, strict=False):
         if term != other_term:
--- a/src/orchidwind_standins/platform/replicated_main.py
+++ b/src/orchidwind_standins/platform/replicated_main.py
@@ -1,7 +1,8 @@
 """The process of one replicating stand-in instance.
 
-Its first argument is its settings as JSON. It connects to whoever started it: from there it is
-told its situation, as JSON lines, and there it tells its role. It ends with that connection.
+The first command line argument holds the settings as JSON. The process connects to the control port
+of its owner, receives its `Situation` from there as JSON lines, and sends a `RoleReport` after each
+change of role. It ends when that connection is closed.
 """
 
 from __future__ import annotations
@@ -18,10 +19,11 @@
 
 
 class Situation(msgspec.Struct, frozen=True, omit_defaults=True):
-    """What an instance is told: all peers with their ports, its faults, a term to lead now.
+    """The ports of all peers, the active faults of the instance, and a promotion if there is one.
 
-    `cut` names the peers that it cannot reach, `deaf` that it receives nothing of any, `silent`
-    that it takes statements and answers none. `lead` is 0 where it is not promoted.
+    `cut` names the unreachable peers. With `deaf`, the instance receives no log from any peer. With
+    `silent`, it executes statements without answering. `lead` is the term to become primary of, 0
+    for none.
     """
 
     peers: dict[str, int]
@@ -32,7 +34,7 @@
 
 
 class RoleReport(msgspec.Struct, frozen=True):
-    """What an instance tells: its name, its role, and the term that it is in."""
+    """The name, role and term of an instance, sent to its owner."""
 
     name: str
     role: str
@@ -40,7 +42,7 @@
 
 
 class InstanceProcess:
-    """One instance with its listener, its links and the connection to its owner."""
+    """One instance with its listener, its replication links and the connection to its owner."""
 
     def __init__(self, settings: InstanceSettings) -> None:
         self._settings = settings
@@ -49,29 +51,29 @@
         self._writers: set[asyncio.StreamWriter] = set()
 
     async def run(self) -> None:
-        """Serve until the owner's connection ends."""
+        """Serve until the connection to the owner ends."""
         settings = self._settings
         await asyncio.start_server(self._serve, HOST, settings.port, limit=LINE_BYTES)
         reader, writer = await asyncio.open_connection(HOST, settings.control_port)
 
-        def tell() -> None:
+        def report_role() -> None:
             instance = self._instance
             report = RoleReport(settings.name, instance.role, instance.term)
             writer.write(msgspec.json.encode(report) + b"\n")
 
-        self._instance.on_role = tell
-        tell()
+        self._instance.on_role = report_role
+        report_role()
         while line := await reader.readline():
-            self._take(msgspec.json.decode(line, type=Situation))
+            self._apply(msgspec.json.decode(line, type=Situation))
 
-    def _take(self, situation: Situation) -> None:
+    def _apply(self, situation: Situation) -> None:
         self._links.cut = frozenset(situation.cut)
         self._links.deaf = situation.deaf
-        speaks = self._instance.speaks
+        answers_enabled = self._instance.answers_enabled
         if situation.silent:
-            speaks.clear()
-        elif not speaks.is_set():
-            speaks.set()
+            answers_enabled.clear()
+        elif not answers_enabled.is_set():
+            answers_enabled.set()
             for writer in list(self._writers):
                 writer.close()
         self._links.set_peers(situation.peers)
@@ -93,7 +95,7 @@
 
 
 def main() -> None:
-    """Entry point of the process."""
+    """Entry point of the process: `sys.argv[1]` holds the settings as JSON."""
     settings = msgspec.json.decode(sys.argv[1], type=InstanceSettings)
 
     async def run() -> None:
--- a/src/orchidwind_standins/platform/replication_links.py
+++ b/src/orchidwind_standins/platform/replication_links.py
@@ -1,4 +1,4 @@
-"""Replication between stand-in instances: JSON lines on TCP, in parts, each link can be cut."""
+"""Replication between stand-in instances: JSON lines on TCP, over links that can be cut."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from orchidwind_standins.platform.replicated_log import runs_of
 
 HOST = "127.0.0.1"
-# Longest line of a message, in bytes: a part of the log, and the runs of all terms.
+# Size limit of a line in bytes; a message holds some log entries and the runs of all terms.
 LINE_BYTES = 4 * 1024 * 1024
 _ANSWER_SECONDS = 0.5
 _HEARTBEAT_SECONDS = 0.05
@@ -25,45 +25,48 @@
 
 
 class ReplicationLinks:
-    """Sends an instance's log to its peers while it leads, and takes that of another."""
+    """Sends an instance's log to its peers while it is primary, and receives that of a primary.
+
+    `cut` names the peers whose links are cut; with `deaf`, nothing is received from any peer.
+    """
 
     def __init__(self, instance: ReplicatedInstance) -> None:
         self._instance = instance
-        self._shipping: dict[str, tuple[int, asyncio.Task[None]]] = {}
+        self._senders: dict[str, tuple[int, asyncio.Task[None]]] = {}
         self.cut: frozenset[str] = frozenset()
         self.deaf = False
 
     def set_peers(self, peers: Mapping[str, int]) -> None:
-        """The other instances of the group, with the port of each."""
-        for name, (port, task) in list(self._shipping.items()):
+        """Set the instances of the group with their ports, and replicate to the others."""
+        for name, (port, task) in list(self._senders.items()):
             if peers.get(name) != port:
                 task.cancel()
-                del self._shipping[name]
+                del self._senders[name]
         for name, port in peers.items():
-            if name != self._instance.settings.name and name not in self._shipping:
-                task = asyncio.get_running_loop().create_task(self._ship(name, port))
-                self._shipping[name] = (port, task)
+            if name != self._instance.settings.name and name not in self._senders:
+                task = asyncio.get_running_loop().create_task(self._replicate_to(name, port))
+                self._senders[name] = (port, task)
 
     # --- sending --------------------------------------------------------------------------------
 
-    async def _ship(self, peer: str, port: int) -> None:
+    async def _replicate_to(self, peer: str, port: int) -> None:
         while True:
             await self._instance.leads.wait()
             with suppress(OSError, TimeoutError, ValueError, msgspec.DecodeError):
                 reader, writer = await asyncio.open_connection(HOST, port, limit=LINE_BYTES)
                 try:
-                    await self._ship_on(peer, reader, writer)
+                    await self._replicate_over(peer, reader, writer)
                 finally:
                     writer.close()
             await asyncio.sleep(_PAUSE_SECONDS)
 
-    async def _ship_on(
+    async def _replicate_over(
         self, peer: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         instance = self._instance
         held: int | None = None
         while instance.role == PRIMARY and peer not in self.cut:
-            term, grown = instance.term, instance.grown
+            term, log_extended = instance.term, instance.log_extended
             message = self._message(peer, held)
             writer.write(msgspec.json.encode(message) + b"\n")
             async with asyncio.timeout(_ANSWER_SECONDS + instance.settings.lag_seconds):
@@ -80,7 +83,7 @@
             if held >= len(instance.log):
                 with suppress(TimeoutError):
                     async with asyncio.timeout(_HEARTBEAT_SECONDS):
-                        await grown.wait()
+                        await log_extended.wait()
 
     def _message(self, peer: str, held: int | None) -> ReplicationMessage:
         instance = self._instance
@@ -96,7 +99,7 @@
     async def receive(
         self, first: bytes, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Serve a connection of a primary, whose first line was read."""
+        """Serve a connection of a primary; `first` is its first line, which was already read."""
         settings = self._instance.settings
         line = first
         while line:
--- a/tests/platform/test_foreign_entries.py
+++ b/tests/platform/test_foreign_entries.py
@@ -1,6 +1,7 @@
-"""Entries of another writer: each names no instance to use, and hides no other.
+"""Invalid directory entries are not used as instances and don't hide valid ones.
 
-An entry may lack fields, have other types or words in them, or bytes that can't be read.
+Other writers can put entries into the directory that lack fields, have wrong types or unknown
+values, or contain bytes that can't be decoded.
 """
 
 import asyncio
@@ -49,7 +50,7 @@
 
 
 def page(*specs):
-    """A page of a listing with these contents, and a good one before and behind."""
+    """The JSON of a listing page with these entries between two valid ones."""
     good = json.dumps(GOOD).encode()
     items = [
         b'{"meta":{"name":"i-%d","revision":%d},"spec":%s}' % (number, number + 1, spec)
@@ -59,7 +60,7 @@
 
 
 def listed(*specs):
-    """The names of the instances that are read of a page, but for the two good ones."""
+    """The instances decoded from a page of these entries, except the two valid ones around them."""
     translated = WatchedKind(None, InstanceTranslation())
     items, unreadable = translated._translate(decode(page(*specs), ObjectPage).items, era=0)
     names = [item.instance for item in items]
@@ -68,25 +69,25 @@
     return names[1:-1]
 
 
-def test_a_good_entry_is_read():
+def test_valid_entry_is_decoded():
     assert listed(json.dumps(GOOD).encode()) == ["i-1"]
 
 
 @pytest.mark.parametrize("missing", NEEDED)
-def test_an_entry_without_a_field_names_no_instance(missing):
+def test_entry_with_missing_field_is_not_used(missing):
     spec = {name: value for name, value in GOOD.items() if name != missing}
     assert listed(json.dumps(spec).encode()) == []
 
 
 @pytest.mark.parametrize(("name", "value"), OTHER_VALUES)
-def test_an_entry_with_another_value_names_no_instance(name, value):
+def test_entry_with_invalid_value_is_not_used(name, value):
     assert listed(json.dumps({**GOOD, name: value}).encode()) == []
 
 
 @pytest.mark.parametrize(
     "spec", [b"null", b"[]", b'""', b'"\xff\xfe"', b'{"service":"\xff"}', b"1"]
 )
-def test_what_is_no_entry_at_all_names_no_instance(spec):
+def test_undecodable_entry_is_not_used(spec):
     assert listed(spec) == []
 
 
@@ -108,7 +109,7 @@
             assert spec["db_role"] in ("primary", "replica")
 
 
-def test_an_entry_that_becomes_unreadable_is_used_no_more_and_logged_once(tmp_path, caplog):
+def test_entry_that_becomes_invalid_is_dropped_and_logged_once(tmp_path, caplog):
     caplog.set_level(logging.ERROR, logger="orchidwind")
 
     async def scenario(system):
@@ -119,8 +120,10 @@
         assert not topology.instances["i-1"].listed
         system.store.forget_history()
         await asyncio.sleep(1.5)
-        told = [record for record in caplog.records if record.message == "object_not_as_described"]
-        assert [record.object for record in told] == ["i-1"]
+        logged_records = [
+            record for record in caplog.records if record.message == "object_not_as_described"
+        ]
+        assert [record.object for record in logged_records] == ["i-1"]
         system.write_entry(system.group.instances["i-1"])
         await asyncio.sleep(0.5)
         assert topology.instances["i-1"].listed
--- a/tests/platform/test_http_call.py
+++ b/tests/platform/test_http_call.py
@@ -1,4 +1,4 @@
-"""Calls whose answers arrive slowly: which are waited for, and which end in any case."""
+"""HTTP calls whose responses arrive slowly: when the time limit is extended, and when it isn't."""
 
 import asyncio
 
@@ -9,13 +9,16 @@
 
 PARTS = 5
 PART = b"x" * 1000
-# The call's own limit, and the time between two parts: the whole takes longer than the limit.
+# The time limit of a call and the time between two parts; the whole response exceeds the limit.
 LIMIT_SECONDS = 0.3
 GAP_SECONDS = 0.15
 
 
 async def serve(parts, stop_after=PARTS):
-    """A server that sends its answer part by part, and falls silent after some; its port."""
+    """Start a server that sends its response in parts and sends nothing after `stop_after` parts.
+
+    Returns the server and a request to it.
+    """
 
     async def answer(reader, writer):
         await reader.readuntil(b"\r\n\r\n")
@@ -32,7 +35,7 @@
     return server, HttpRequest(server.sockets[0].getsockname()[:2], "GET", "/")
 
 
-def test_an_answer_that_is_arriving_is_waited_for():
+def test_limit_is_extended_while_response_arrives():
     async def work():
         server, request = await serve(PARTS)
         arrivals = []
@@ -44,7 +47,7 @@
     asyncio.run(work())
 
 
-def test_a_call_with_an_effect_ends_at_its_time_though_its_answer_is_arriving():
+def test_limit_is_not_extended_without_on_arrival():
     async def work():
         server, request = await serve(PARTS)
         with pytest.raises(HttpCallFailed, match="bytes of it"):
@@ -54,8 +57,8 @@
     asyncio.run(work())
 
 
-def test_an_answer_that_stops_arriving_ends_the_call(monkeypatch):
-    monkeypatch.setattr(calls, "ANSWER_STALL_SECONDS", 2 * GAP_SECONDS)
+def test_response_that_stops_arriving_ends_the_call(monkeypatch):
+    monkeypatch.setattr(calls, "ARRIVING_SECONDS", 2 * GAP_SECONDS)
 
     async def work():
         server, request = await serve(PARTS, stop_after=3)
@@ -66,7 +69,7 @@
     asyncio.run(work())
 
 
-def test_an_answer_that_arrives_for_too_long_ends_the_call(monkeypatch):
+def test_response_that_takes_too_long_ends_the_call(monkeypatch):
     monkeypatch.setattr(calls, "LONGEST_ANSWER_SECONDS", 2 * LIMIT_SECONDS)
 
     async def work():
--- a/tests/platform/test_line_wire.py
+++ b/tests/platform/test_line_wire.py
@@ -1,4 +1,4 @@
-"""The line protocol's codec: every message, fragments, limits and bad input."""
+"""Encoding and decoding of the line protocol: all messages, fragments, limits, invalid input."""
 
 import pytest
 from hypothesis import given
@@ -54,12 +54,12 @@
         ("QUERY a1 STATUS", Command("a1", CommandKind.UNKNOWN, "STATUS")),
     ],
 )
-def test_callers_messages(line, message):
+def test_caller_messages_are_decoded(line, message):
     assert caller_lines.parse_caller_line(line) == message
 
 
 @pytest.mark.parametrize("line", ["", "HELLO", "QUERY", "QUERY a1", "STARTUP db", "TERMINATE now"])
-def test_what_is_no_message_is_an_error(line):
+def test_invalid_caller_message_raises(line):
     with pytest.raises(line_format.WireError):
         caller_lines.parse_caller_line(line)
 
@@ -125,7 +125,7 @@
 
 
 @pytest.mark.parametrize("line", ["HELLO", "READY X 1.1", "READY I 1", "READY I a.b"])
-def test_an_instance_that_speaks_otherwise_is_an_error(line):
+def test_invalid_reply_line_raises(line):
     with pytest.raises(line_format.WireError):
         instance_lines.ReplyReader().feed_line(line)
 
--- a/tests/platform/test_platform_node.py
+++ b/tests/platform/test_platform_node.py
@@ -1,4 +1,4 @@
-"""One proxy on real sockets: line protocol on both sides, the store and promotions of stand-ins."""
+"""One proxy on real sockets, between callers and stand-ins for instances, store and promotions."""
 
 import asyncio
 import os
@@ -42,7 +42,7 @@
     with_system(tmp_path, scenario)
 
 
-def test_reads_that_may_run_on_replicas_do(tmp_path):
+def test_reads_allowed_on_replicas_run_there(tmp_path):
     async def scenario(system):
         client = await LineClient.open(system.front_port, "own")
         await client.ask("WRITE t1 x", "w1")
@@ -79,7 +79,7 @@
         client = await LineClient.open(system.front_port)
         await client.ask("BEGIN")
         await client.ask("WRITE t1 x", "w1")
-        system.group.instances["i-0"].answer_with = "FAILED"
+        system.group.instances["i-0"].next_error_code = "FAILED"
         lines = await client.ask("READ t1", "r1")
         assert lines[0].startswith("ERROR FAILED")
         assert lines[-1] == "READY E -"
@@ -137,9 +137,9 @@
 
 def test_unknown_databases_and_routes_that_go(tmp_path):
     async def scenario(system):
-        stranger = await LineClient.open(system.front_port, "nowhere")
-        assert stranger.greeting.startswith("ERROR NODB")
-        assert await stranger.closed()
+        rejected = await LineClient.open(system.front_port, "nowhere")
+        assert rejected.greeting.startswith("ERROR NODB")
+        assert await rejected.closed()
         client = await LineClient.open(system.front_port, "own")
         await client.ask("BEGIN")
         await client.ask("READ t1", "r1")
@@ -207,7 +207,7 @@
     async def scenario(system):
         client = await LineClient.open(system.front_port)
         await client.ask("READ t1", "r0")
-        system.group.instances["i-0"].speaks.clear()
+        system.group.instances["i-0"].answers_enabled.clear()
         lines = await client.ask("WRITE t1 x", "w1")
         assert re.match("ERROR (TIMEOUT|INDOUBT)", lines[0])
         assert len(system.runs("w1")) == 1
@@ -236,7 +236,7 @@
     with_system(tmp_path, scenario)
 
 
-def test_a_store_that_refuses_forgets_and_loses_is_lived_with(tmp_path):
+def test_proxy_survives_refused_calls_and_lost_history(tmp_path):
     async def scenario(system):
         client = await LineClient.open(system.front_port)
         system.store.refuse_with = 503
@@ -283,7 +283,7 @@
 
 
 def test_the_process_drains_on_a_signal(tmp_path):
-    """SIGTERM: not ready at once, new sessions still taken, transactions end, then it exits."""
+    """After SIGTERM: not ready at once, new sessions are served, transactions end, then exit."""
 
     async def work():
         system = PlatformSystem(tmp_path)
@@ -334,7 +334,7 @@
             await asyncio.sleep(0.05)
 
 
-def test_nothing_outside_the_folder_knows_the_platforms_words():
+def test_platform_terms_occur_only_in_its_adapters():
     words = re.compile(
         r"DATAROW|READONLY|LAGGING|INDOUBT|WRONGNODE|TOOMANYCON|NOSTMT|db_role|"
         r"bounded_staleness|read_own_writes|max_staleness_ms|cloud_api|Duty-Holder|Fencing-Token|"
@@ -361,7 +361,7 @@
 
 
 def test_a_proxy_without_connections_forwards_to_the_home(tmp_path):
-    """Two proxies, and connections for one of them: both kinds of statements go through."""
+    """Two proxies, server connections for only one: the other forwards reads and writes to it."""
 
     async def work():
         system = PlatformSystem(tmp_path)
--- a/tests/platform/test_tenants.py
+++ b/tests/platform/test_tenants.py
@@ -1,8 +1,8 @@
-"""Callers with API keys before one proxy on real sockets: whose statements run, and on what.
+"""API keys and tenants on one proxy with real sockets: authentication, revocation, quotas.
 
-The story: on the first days of the shifted deployment every statement ran in the name of the proxy
-itself (12,597 on a quiet day), sessions with a key that nobody holds were served (21), and keys
-that an operator had taken away were of use until their sessions ended (3,496 statements of a day).
+Guards against three failures, with the number of cases on one day of a deployment: all statements
+ran under the proxy's own name instead of the tenant's (12,597), sessions with unknown keys were
+served (21), and revoked keys remained valid until their sessions ended (3,496 statements).
 """
 
 import asyncio
@@ -11,7 +11,7 @@
 from support.platform_system import SERVICE, LineClient, with_system
 
 TENANTS = {"tern": (["key-a", "key-b"], 1000, 1000), "heron": (["key-c"], 1000, 1000)}
-# A configuration is in force everywhere after this time, seconds; the stand-in tells it at once.
+# Seconds until a new configuration is in force; the stand-in reports changes at once.
 IN_FORCE_SECONDS = 0.5
 
 
@@ -25,7 +25,7 @@
     await asyncio.sleep(IN_FORCE_SECONDS)
 
 
-def test_an_instance_is_told_the_tenant_and_never_the_key(tmp_path):
+def test_instance_gets_tenant_name_and_never_the_key(tmp_path):
     async def scenario(system):
         for number, (key, tenant) in enumerate(
             [("key-a", "tern"), ("key-c", "heron"), ("key-b", "tern"), ("key-c", "heron")]
@@ -41,7 +41,7 @@
     with_tenants(tmp_path, scenario)
 
 
-def test_a_key_that_nobody_holds_begins_no_session(tmp_path):
+def test_unknown_key_is_rejected(tmp_path):
     async def scenario(system):
         client = await LineClient.open(system.front_port, "latest", "key-z")
         assert client.greeting.startswith("ERROR AUTHFAIL")
@@ -64,14 +64,14 @@
 
 def test_a_key_that_is_taken_away_ends_open_sessions_and_transactions(tmp_path):
     async def scenario(system):
-        resting = await LineClient.open(system.front_port, "latest", "key-a")
+        idle = await LineClient.open(system.front_port, "latest", "key-a")
         other = await LineClient.open(system.front_port, "latest", "key-b")
-        inside = await LineClient.open(system.front_port, "latest", "key-a")
-        await inside.ask("BEGIN")
-        assert (await inside.ask("WRITE t1 x", "w1"))[0].startswith("COMPLETE")
+        in_transaction = await LineClient.open(system.front_port, "latest", "key-a")
+        await in_transaction.ask("BEGIN")
+        assert (await in_transaction.ask("WRITE t1 x", "w1"))[0].startswith("COMPLETE")
         await reconfigure(system, {**TENANTS, "tern": (["key-b"], 1000, 1000)})
-        assert (await resting.ask("READ t1", "r1"))[0].startswith("ERROR AUTHFAIL")
-        lines = await inside.ask("COMMIT", "c1")
+        assert (await idle.ask("READ t1", "r1"))[0].startswith("ERROR AUTHFAIL")
+        lines = await in_transaction.ask("COMMIT", "c1")
         assert lines[0].startswith("ERROR AUTHFAIL")
         assert lines[-1] == "READY I -"
         assert system.runs("r1") == system.runs("c1") == []
@@ -80,7 +80,7 @@
     with_tenants(tmp_path, scenario)
 
 
-def test_a_key_that_goes_to_another_tenant_ends_the_transactions_of_the_first(tmp_path):
+def test_key_moved_to_another_tenant_aborts_open_transactions(tmp_path):
     async def scenario(system):
         client = await LineClient.open(system.front_port, "latest", "key-a")
         await client.ask("BEGIN")
@@ -95,7 +95,7 @@
 
 
 def test_without_news_of_the_configuration_keys_are_of_no_use_after_the_bound(tmp_path):
-    """The store is silent: nobody could tell that a key was taken away."""
+    """The proxy could not learn of a revoked key, since the store answers no calls."""
 
     async def scenario(system):
         client = await LineClient.open(system.front_port, "latest", "key-a")
@@ -133,7 +133,7 @@
     with_tenants(tmp_path, scenario)
 
 
-def test_an_operator_sees_who_was_refused_and_by_which_limit(tmp_path, caplog):
+def test_operator_sees_which_tenant_exceeded_which_quota(tmp_path, caplog):
     caplog.set_level("INFO")
 
     async def scenario(system):
@@ -155,28 +155,28 @@
         assert second["refused"] == 0
         figures = (await system.status_of("/metrics", system.ports[2])).body.decode()
         assert 'orchidwind_tenant_operations_total{result="refused",tenant="tern"}' in figures
-        told = next(item for item in caplog.records if item.message == "quota_exceeded")
-        assert (told.tenant, told.rate, told.share) == ("tern", 1.0, 1.0)
+        record = next(item for item in caplog.records if item.message == "quota_exceeded")
+        assert (record.tenant, record.rate, record.share) == ("tern", 1.0, 1.0)
 
     with_tenants(tmp_path, scenario)
 
 
-def test_a_configuration_whose_tenants_contradict_is_not_taken(tmp_path, caplog):
+def test_configuration_with_conflicting_tenants_is_rejected(tmp_path, caplog):
     caplog.set_level("ERROR")
 
     async def scenario(system):
         version = system.proxy._proxy.configuration.version
         await reconfigure(system, {"tern": (["key-a"], 1, 1), "heron": (["key-a"], 1, 1)})
         assert system.proxy._proxy.configuration.version == version
-        (told,) = [item for item in caplog.records if item.message == "object_not_as_described"]
-        assert "also held by tenant tern" in str(told.reason)
-        assert "key-a" not in str(told.reason)
+        (record,) = [item for item in caplog.records if item.message == "object_not_as_described"]
+        assert "also held by tenant tern" in str(record.reason)
+        assert "key-a" not in str(record.reason)
 
     with_tenants(tmp_path, scenario)
 
 
-def test_more_tenants_than_connections_take_turns_on_them(tmp_path):
-    """Each of 40 tenants is served, though an instance takes 34 connections."""
+def test_more_tenants_than_connections_are_all_served(tmp_path):
+    """40 tenants are all served although an instance accepts only 34 connections."""
     many = {f"tenant-{number}": ([f"key-{number}"], 1000, 1000) for number in range(40)}
 
     async def scenario(system):
@@ -189,8 +189,8 @@
                 *(client.ask("READ t0", f"r{turn}-{i}") for i, client in enumerate(clients))
             )
             assert all(lines[-2].startswith("COMPLETE") for lines in answers)
-            told = [system.ran_for(f"r{turn}-{number}") for number in range(40)]
-            assert told == [f"tenant-{number}" for number in range(40)]
+            tenants = [system.ran_for(f"r{turn}-{number}") for number in range(40)]
+            assert tenants == [f"tenant-{number}" for number in range(40)]
         pools = system.proxy._proxy.groups[SERVICE].connections.pools
         assert max(pool.size for pool in pools) <= 34
 
--- a/tests/promoted/test_caller_limits.py
+++ b/tests/promoted/test_caller_limits.py
@@ -1,4 +1,4 @@
-"""Callers that are gone without a word, or read nothing: what they hold has limits, on sockets."""
+"""Limits on what half-open callers, or callers that read nothing, can hold on real sockets."""
 
 import asyncio
 
@@ -8,30 +8,30 @@
 from orchidwind.platform.line_format import MAXIMUM_MESSAGE_BYTES
 
 IDLE_MS = 300
-# Beyond the rest that a transaction is allowed; for a machine that does other work.
+# Allowance beyond the idle limit of a transaction, for a busy machine.
 SLACK_SECONDS = 0.7
 
 
 def held(system):
-    """Connections to instances that requests or transactions hold."""
+    """The number of connections to instances in use by requests or transactions."""
     return system.proxy._proxy.groups[SERVICE].connections.pools.busy
 
 
 async def half_open(system):
-    """A caller behind a relay that will swallow all that either end sends."""
+    """A caller behind a relay that can drop everything that either side sends."""
     relay = Relay(system.front_port)
     return relay, await LineClient.open(await relay.start())
 
 
-def test_half_open_callers_hold_a_transaction_no_longer_than_it_may_rest(tmp_path):
+def test_half_open_callers_lose_their_transaction_after_the_idle_limit(tmp_path):
     async def scenario(system):
-        relay, resting = await half_open(system)
-        asking = await LineClient.open(relay.port)
-        for thing, caller in (("t1", resting), ("t2", asking)):
+        relay, idle = await half_open(system)
+        waiting = await LineClient.open(relay.port)
+        for thing, caller in (("t1", idle), ("t2", waiting)):
             await caller.ask("BEGIN")
             await caller.ask(f"WRITE {thing} x", f"w-{thing}")
         assert held(system) == 2
-        await asking.stream.write(b"QUERY w3 WRITE t2 y\r\n")
+        await waiting.stream.write(b"QUERY w3 WRITE t2 y\r\n")
         relay.silence()
         await asyncio.sleep(IDLE_MS / 1000 + SLACK_SECONDS)
         assert held(system) == 0
--- a/tests/promoted/test_standin_store.py
+++ b/tests/promoted/test_standin_store.py
@@ -1,10 +1,9 @@
-"""The stand-in of the store keeps the promise that proxies rest on: an answer tells all up to `at`.
+"""A watch response of the stand-in store contains all changes up to the revision `at`.
 
-What was seen, once, in the soak beside other load: a proxy held version 1 of the configuration for
-18 s and called it current all the while, though nothing disturbed it. Its watch had run out just as
-version 2 was written: the stand-in looked for changes, found none, and answered after the write,
-with the revision of after it. The proxy's next watch began there. The evidence is this test, and
-that the proxy was a reader, which nobody but the store tells of changes.
+Guards against a lost change: when a write came just as a watch timed out, the stand-in had already
+found no events but answered with the revision after the write, where the next watch of the proxy
+began. In the soak, a proxy that gets changes only from the store then held version 1 of the
+configuration for 18 s and considered it current.
 """
 
 import asyncio
@@ -20,7 +19,7 @@
 
 
 class WriteAsTheWaitEnds(asyncio.Event):
-    """A wait that ends by its time; before the waiting call goes on, a change is written."""
+    """A wait that times out, with a change written before the waiting call continues."""
 
     def __init__(self, state):
         super().__init__()
@@ -38,7 +37,7 @@
 
 
 @pytest.mark.parametrize("ending", ["write as the wait ends", "no write"])
-def test_a_watch_names_no_revision_beyond_what_it_tells(ending):
+def test_watch_revision_covers_only_reported_changes(ending):
     async def work():
         state = StoreState()
         state.put("config", "main", {"version": 1})
@@ -48,9 +47,11 @@
         if ending == "write as the wait ends":
             state.changed = WriteAsTheWaitEnds(state)
         first = await watched(port, before)
-        then = await watched(port, first["at"])
+        second = await watched(port, first["at"])
         server.stop()
-        told = [event["object"]["spec"] for answer in (first, then) for event in answer["events"]]
-        assert told == ([] if ending == "no write" else [{"version": 2}])
+        reported = [
+            event["object"]["spec"] for answer in (first, second) for event in answer["events"]
+        ]
+        assert reported == ([] if ending == "no write" else [{"version": 2}])
 
     asyncio.run(work())
--- a/tests/promoted/test_store_call_limits.py
+++ b/tests/promoted/test_store_call_limits.py
@@ -1,4 +1,4 @@
-"""Calls to the store whose answers are swallowed: none of any kind waits longer than its bound."""
+"""Calls whose responses never arrive: each kind of call ends within its bound."""
 
 import asyncio
 import contextlib
@@ -28,17 +28,17 @@
 from orchidwind_standins.platform import object_store
 
 HOST = "127.0.0.1"
-# Of the views that bound a call by a share of a promise, the one with the shortest promise.
+# Of the views whose bound limits their calls, the one with the shortest bound.
 TIMES = FollowTimes.within(ProxyBounds().configuration)
 PROMOTION_SECONDS = 0.8
 WATCH_SECONDS = 0.3
-SWALLOWED_SECONDS = 0.1
-# For a machine that does other work; not part of any bound.
+SILENT_SECONDS = 0.1
+# Allowance for a busy machine; not part of any bound.
 SLACK_SECONDS = 0.5
 
 
 class Calls:
-    """Every kind of call that a proxy makes, and within which time it must be over."""
+    """Every kind of call that a proxy makes to the store and to the promotion service."""
 
     def __init__(self, store, port):
         self.members = WatchedKind(store, MemberTranslation())
@@ -93,7 +93,7 @@
             raise PlatformError(f"the promotion is {answer.value}")
 
 
-# A read is repeated by then where the store serves it, and given up where it is turned away.
+# Where the store serves calls again, a read is repeated by this time and succeeds.
 SERVED_SECONDS = {"read": TIMES.hedge_after}
 BOUNDS = {
     "read": TIMES.hedge_after * MOST_CALLS,
@@ -122,7 +122,7 @@
 
 
 async def within_bound(calls, kind, seconds):
-    """Whether the call was answered; raises TimeoutError where it outlasts its bound."""
+    """Return whether the call was answered; raises TimeoutError if it exceeds its bound."""
     async with asyncio.timeout(seconds + SLACK_SECONDS):
         try:
             await getattr(calls, kind)()
@@ -131,23 +131,23 @@
     return True
 
 
-@pytest.mark.parametrize("turned_away", [False, True])
-def test_no_call_waits_longer_than_its_bound_where_its_answer_is_swallowed(turned_away):
+@pytest.mark.parametrize("calls_refused", [False, True])
+def test_unanswered_calls_end_within_their_bound(calls_refused):
     async def work():
         with stand_in() as (state, calls):
             state.fall_silent()
-            bounds = BOUNDS if turned_away else BOUNDS | SERVED_SECONDS
+            bounds = BOUNDS if calls_refused else BOUNDS | SERVED_SECONDS
             under_way = {
                 kind: asyncio.create_task(within_bound(calls, kind, bounds[kind]))
                 for kind in BOUNDS
             }
-            await asyncio.sleep(SWALLOWED_SECONDS)
+            await asyncio.sleep(SILENT_SECONDS)
             state.speak_again()
-            state.refuse_with = 503 if turned_away else 0
+            state.refuse_with = 503 if calls_refused else 0
             answered = dict(zip(under_way, await asyncio.gather(*under_way.values()), strict=True))
-            # What may be repeated beside the first was; the others end without an answer.
-            assert [kind for kind, told in answered.items() if told] == (
-                [] if turned_away else ["read"]
+            # Only reads are repeated while the first call is open; the others end unanswered.
+            assert [kind for kind, was_answered in answered.items() if was_answered] == (
+                [] if calls_refused else ["read"]
             )
 
     asyncio.run(work())
@@ -158,9 +158,9 @@
         with stand_in() as (state, calls):
             state.fall_silent()
             under_way = [asyncio.create_task(getattr(calls, kind)()) for kind in BOUNDS]
-            await asyncio.sleep(SWALLOWED_SECONDS)
+            await asyncio.sleep(SILENT_SECONDS)
             state.speak_again()
-            # All that the calls need to be there; what was swallowed may or may not have been done.
+            # Reset to the objects that the calls need: unanswered calls may have been executed.
             state.objects.clear()
             state.put("proxies", "proxy-a", {})
             for kind in BOUNDS:
