--- a/src/orchidwind/platform/callers.py
+++ b/src/orchidwind/platform/callers.py
@@ -37,7 +37,7 @@
 
     async def handle_stream(self, stream: IOStream, address: tuple[str, int]) -> None:
         """Serve one caller until its session ends."""
-        watchful(stream.socket)
+        configure_socket(stream.socket)
         connection = CallerConnection(stream, self._proxy)
         self._registry.sessions.add(connection)
         self._proxy.metrics.sessions.set(len(self._registry.sessions))
@@ -66,7 +66,7 @@
         stream.set_close_callback(self._on_closed)
 
     @property
-    def resting(self) -> bool:
+    def idle(self) -> bool:
         """Whether no command of the caller is in progress."""
         return not self._busy
 
--- a/src/orchidwind/platform/http_call.py
+++ b/src/orchidwind/platform/http_call.py
@@ -134,7 +134,7 @@
         if self._limit is None or self._on_arrival is None or deadline is None:
             return
         self._on_arrival()
-        next_chunk_deadline = self._loop.time() + ARRIVING_SECONDS
+        next_chunk_deadline = self._loop.time() + ANSWER_STALL_SECONDS
         latest = self._started_at + LONGEST_ANSWER_SECONDS
         self._limit.reschedule(max(deadline, min(next_chunk_deadline, latest)))
 
--- a/src/orchidwind/platform/published.py
+++ b/src/orchidwind/platform/published.py
@@ -174,7 +174,7 @@
     if specs is None:
         return None
     tenants = tuple(_tenant(spec) for spec in specs)
-    errors = list(tenant_faults(tenants))
+    errors = list(tenant_errors(tenants))
     if errors:
         raise ValueError("; ".join(errors))
     return tenants
--- a/tests/platform/test_http_call.py
+++ b/tests/platform/test_http_call.py
@@ -58,7 +58,7 @@
 
 
 def test_response_that_stops_arriving_ends_the_call(monkeypatch):
-    monkeypatch.setattr(calls, "ARRIVING_SECONDS", 2 * GAP_SECONDS)
+    monkeypatch.setattr(calls, "ANSWER_STALL_SECONDS", 2 * GAP_SECONDS)
 
     async def work():
         server, request = await serve(PARTS, stop_after=3)
