--- a/src/orchidwind_bench/platform/soak/promises.py
+++ b/src/orchidwind_bench/platform/soak/promises.py
@@ -12,7 +12,7 @@
 from orchidwind_bench.platform.soak.callers import Record
 from orchidwind_standins.platform.replicated_log import (
     JournalLine,
-    KeptState,
+    JournalState,
     LogEntry,
     read_journal,
 )
@@ -59,9 +59,9 @@
         leads: dict[int, Lead] = {}
         for name, lines in journals.items():
             own_since = began(name, lines)
-            state = KeptState()
+            state = JournalState()
             for line in lines:
-                state.take(line)
+                state.apply(line)
                 if line.at < own_since:
                     continue
                 if line.led:
@@ -81,11 +81,11 @@
         for name, lines in self.journals.items():
             if began(name, lines) > at:
                 continue
-            state = KeptState()
+            state = JournalState()
             for line in lines:
                 if line.at > at:
                     break
-                state.take(line)
+                state.apply(line)
             if any(wanted in entry.writes for entry in state.log):
                 found.append(name)
         return sorted(found)
@@ -96,9 +96,9 @@
         for name, lines in self.journals.items():
             first = any(line.role == "primary" and line.term == 1 for line in lines)
             if name == (newest.instance if newest else "") or (newest is None and first):
-                state = KeptState()
+                state = JournalState()
                 for line in lines:
-                    state.take(line)
+                    state.apply(line)
                 return state.log
         return ()
 
--- a/src/orchidwind_bench/platform/soak/store_faults.py
+++ b/src/orchidwind_bench/platform/soak/store_faults.py
@@ -77,7 +77,7 @@
         copy = self._system.store.copy()
 
         def come_back() -> None:
-            self._system.come_back_from(copy)
+            self._system.restore_from(copy)
             self._claims.release("store returns")
 
         return come_back
@@ -86,10 +86,10 @@
         """The store takes calls and never answers them, not even when it is back."""
         if not self._claims.claim("store silent"):
             return None
-        self._system.store.fall_silent()
+        self._system.store.stop_answering()
 
         def speak() -> None:
-            self._system.store.speak_again()
+            self._system.store.resume_answering()
             self._claims.release("store silent")
 
         return speak
--- a/src/orchidwind_bench/platform/soak/system.py
+++ b/src/orchidwind_bench/platform/soak/system.py
@@ -191,11 +191,11 @@
         self.store.put("config", "main", spec)
         self._versions.append((time.monotonic(), version))
 
-    def come_back_from(self, copy: StoreCopy) -> None:
+    def restore_from(self, copy: StoreCopy) -> None:
         """The store holds what a copy held; operators and instances soon write again."""
         now = time.monotonic()
         self.disturbed(STORE, now, now)
-        self.store.come_back_from(copy)
+        self.store.restore_from(copy)
         held = {name: item.spec for (kind, name), item in copy.objects.items() if kind == "servers"}
         present = [item for group in self.groups.values() for item in group.present()]
         self.directory.came_back(held, [item.name for item in present])
--- a/src/orchidwind_bench/promoted/simulation/store.py
+++ b/src/orchidwind_bench/promoted/simulation/store.py
@@ -125,7 +125,7 @@
             self.configuration,
         )
 
-    def come_back_from(self, copy: StoreCopy, again_after: Callable[[], float]) -> None:
+    def restore_from(self, copy: StoreCopy, again_after: Callable[[], float]) -> None:
         """Hold what a copy held; waiting watches are cut, and the lock of the new era is free.
 
         Operators and instances write again what was lost, each after so many seconds.
--- a/src/orchidwind_standins/platform/object_store.py
+++ b/src/orchidwind_standins/platform/object_store.py
@@ -87,12 +87,12 @@
     on_promotion: OnPromotion = lambda group, instance: True
     changed: asyncio.Event = field(default_factory=asyncio.Event)
 
-    def fall_silent(self) -> None:
+    def stop_answering(self) -> None:
         """Accept calls without ever answering them, including those in progress."""
         self.silent = True
         self.silence_count += 1
 
-    def speak_again(self) -> None:
+    def resume_answering(self) -> None:
         """Answer calls that arrive from now on."""
         self.silent = False
 
@@ -126,7 +126,7 @@
         """Copy the current content; a shallow copy, as objects are never changed in place."""
         return StoreCopy(self.revision, dict(self.objects))
 
-    def come_back_from(self, copy: StoreCopy) -> dict[ObjectKey, Any]:
+    def restore_from(self, copy: StoreCopy) -> dict[ObjectKey, Any]:
         """Restore the store from a copy; later changes are lost and their revisions assigned again.
 
         Calls in progress are cut off without an answer. Returns the lost objects of operators and
--- a/src/orchidwind_standins/platform/replicated_instance.py
+++ b/src/orchidwind_standins/platform/replicated_instance.py
@@ -18,7 +18,7 @@
     LogEntry,
     Runs,
     common_length,
-    kept_state,
+    read_journal_state,
     runs_of,
 )
 
@@ -97,7 +97,7 @@
         self._confirmed: dict[str, int] = {}
         self._waiting: list[tuple[int, asyncio.Future[bool]]] = []
         path = Path(settings.journal)
-        saved = kept_state(path)
+        saved = read_journal_state(path)
         self._journal = Journal(path)
         self.log = saved.log
         self.things: dict[str, str] = {}
--- a/src/orchidwind_standins/platform/replicated_log.py
+++ b/src/orchidwind_standins/platform/replicated_log.py
@@ -72,7 +72,7 @@
         yield msgspec.json.decode(line, type=JournalLine)
 
 
-class KeptState:
+class JournalState:
     """The log, term and role after the lines of a journal that were applied."""
 
     def __init__(self) -> None:
@@ -80,7 +80,7 @@
         self.term = 0
         self.role = ""
 
-    def take(self, line: JournalLine) -> None:
+    def apply(self, line: JournalLine) -> None:
         """Apply one line."""
         if line.keep >= 0:
             del self.log[line.keep :]
@@ -89,11 +89,11 @@
         self.role = line.role or self.role
 
 
-def kept_state(path: Path) -> KeptState:
+def read_journal_state(path: Path) -> JournalState:
     """The state after the last line of a journal."""
-    state = KeptState()
+    state = JournalState()
     for line in read_journal(path):
-        state.take(line)
+        state.apply(line)
     return state
 
 
--- a/tests/platform/test_tenants.py
+++ b/tests/platform/test_tenants.py
@@ -100,7 +100,7 @@
     async def scenario(system):
         client = await LineClient.open(system.front_port, "latest", "key-a")
         assert (await client.ask("READ t1", "r1"))[-2].startswith("COMPLETE")
-        system.store.fall_silent()
+        system.store.stop_answering()
         await asyncio.sleep(0.3)
         assert (await client.ask("READ t1", "r2"))[-2].startswith("COMPLETE")
         await asyncio.sleep(1.0)
--- a/tests/promoted/soak/test_soak_instances.py
+++ b/tests/promoted/soak/test_soak_instances.py
@@ -24,7 +24,7 @@
     JournalLine,
     LogEntry,
     common_length,
-    kept_state,
+    read_journal_state,
     runs_of,
 )
 
@@ -113,7 +113,7 @@
         assert replica.busy
         await asyncio.sleep(0.06)
         assert not replica.busy
-        assert kept_state(tmp_path / "i-0.journal").log == replica.log
+        assert read_journal_state(tmp_path / "i-0.journal").log == replica.log
 
     asyncio.run(play())
 
@@ -260,7 +260,7 @@
             return 6 in seen
 
         await until(caught_up)
-        lines = kept_state(lagging.journal)
+        lines = read_journal_state(lagging.journal)
         assert len(lines.log) == 6
         assert seen & {2, 4}, "it was seen half-way"
 
@@ -343,7 +343,7 @@
         new, successor = group.instances[f"{SERVICE}-i3"], group.instances[f"{SERVICE}-i4"]
         assert 0.005 <= entered[new.name] <= 0.03, "its entry follows"
         assert (old.ended, successor.port) == (True, old.port)
-        assert kept_state(successor.journal).log == kept_state(old.journal).log
+        assert read_journal_state(successor.journal).log == read_journal_state(old.journal).log
         assert not successor.may_lead_on, "also where it is killed before it has started"
         assert await has(new, 1)
         assert await has(successor, 1)
--- a/tests/promoted/test_connection_logs.py
+++ b/tests/promoted/test_connection_logs.py
@@ -133,7 +133,7 @@
         server = object_store.listen(state, HOST, 0)
         address = (HOST, next(iter(server._sockets.values())).getsockname()[1])
         metrics = ProxyMetrics()
-        state.fall_silent()
+        state.stop_answering()
         store = ObjectStore(address, metrics.store_call, metrics.silent)
         with pytest.raises(PlatformError):
             await store.read("/orchidwind/objects/proxies?watch=1&wait_ms=1", 0.05)
--- a/tests/promoted/test_followed_views.py
+++ b/tests/promoted/test_followed_views.py
@@ -17,9 +17,9 @@
 
 async def silence(store, seconds=SILENCE_SECONDS):
     """Let the store accept calls without answering them for some seconds."""
-    store.fall_silent()
+    store.stop_answering()
     await asyncio.sleep(seconds)
-    store.speak_again()
+    store.resume_answering()
 
 
 def test_configuration_applies_in_time_after_the_store_lost_a_watch(tmp_path):
--- a/tests/promoted/test_store_call_limits.py
+++ b/tests/promoted/test_store_call_limits.py
@@ -135,14 +135,14 @@
 def test_unanswered_calls_end_within_their_bound(calls_refused):
     async def work():
         with stand_in() as (state, calls):
-            state.fall_silent()
+            state.stop_answering()
             bounds = BOUNDS if calls_refused else BOUNDS | SERVED_SECONDS
             under_way = {
                 kind: asyncio.create_task(within_bound(calls, kind, bounds[kind]))
                 for kind in BOUNDS
             }
             await asyncio.sleep(SILENT_SECONDS)
-            state.speak_again()
+            state.resume_answering()
             state.refuse_with = 503 if calls_refused else 0
             answered = dict(zip(under_way, await asyncio.gather(*under_way.values()), strict=True))
             # Only reads are repeated while the first call is open; the others end unanswered.
@@ -156,10 +156,10 @@
 def test_the_next_call_of_each_kind_is_served_on_a_new_connection():
     async def work():
         with stand_in() as (state, calls):
-            state.fall_silent()
+            state.stop_answering()
             under_way = [asyncio.create_task(getattr(calls, kind)()) for kind in BOUNDS]
             await asyncio.sleep(SILENT_SECONDS)
-            state.speak_again()
+            state.resume_answering()
             # Reset to the objects that the calls need: unanswered calls may have been executed.
             state.objects.clear()
             state.put("proxies", "proxy-a", {})
--- a/tests/promoted/test_store_returns.py
+++ b/tests/promoted/test_store_returns.py
@@ -59,7 +59,7 @@
 def test_a_change_after_the_return_is_in_force_in_time(tmp_path):
     async def scenario(system):
         copy = await lose_writes(system)
-        system.store.come_back_from(copy)
+        system.store.restore_from(copy)
         await asyncio.sleep(0.5)
         system.write_configuration(LATER_ROUTES)
         await asyncio.sleep(APPLY_SECONDS)
@@ -81,7 +81,7 @@
                     system.store.put("others", "object", {})
 
         system.store.on_listed = change_behind_the_listing
-        system.store.come_back_from(copy)
+        system.store.restore_from(copy)
         await asyncio.sleep(0.5)
         assert system.store.revision > held
         await asyncio.sleep(APPLY_SECONDS)
@@ -101,7 +101,7 @@
 
 
 def come_back(system, copy):
-    system.world.store.come_back_from(copy, lambda: system.world.random.random() * AGAIN_SECONDS)
+    system.world.store.restore_from(copy, lambda: system.world.random.random() * AGAIN_SECONDS)
 
 
 def refuse_one(system):
@@ -169,7 +169,7 @@
         copy = store.copy()
         version = apply_configuration(system)
         await asyncio.sleep(BOUND)
-        store.come_back_from(copy, lambda: 3600.0)
+        store.restore_from(copy, lambda: 3600.0)
         for _ in range(20):
             await asyncio.sleep(1.0)
             assert set(versions(system).values()) == {version}
