--- a/src/orchidwind_bench/account/__init__.py
+++ b/src/orchidwind_bench/account/__init__.py
@@ -1,1 +1,1 @@
-"""What callers lost, by time, database and cause, from the logs of the proxies."""
+"""Counts failed commands by time, group and cause, from the logs of the proxies."""
--- a/src/orchidwind_bench/platform/soak/__init__.py
+++ b/src/orchidwind_bench/platform/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A randomized fault soak: real proxies, callers, stand-ins, and faults from outside."""
+"""A randomized fault soak: runs proxy processes, callers and stand-ins, and injects faults."""
