--- a/src/orchidwind_bench/platform/soak/promises.py
+++ b/src/orchidwind_bench/platform/soak/promises.py
@@ -64,7 +64,7 @@
         promotions: dict[int, EffectivePromotion] = {}
         for name, lines in journals.items():
             own_since = started_at(name, lines)
-            state = KeptState()
+            state = JournalState()
             for line in lines:
                 state.apply(line)
                 if line.at < own_since:
@@ -105,7 +105,7 @@
             if name == (newest_promotion.instance if newest_promotion else "") or (
                 newest_promotion is None and first
             ):
-                state = KeptState()
+                state = JournalState()
                 for line in lines:
                     state.apply(line)
                 return state.log
--- a/src/orchidwind_bench/platform/soak/system.py
+++ b/src/orchidwind_bench/platform/soak/system.py
@@ -191,7 +191,7 @@
         self.store.put("config", "main", spec)
         self._versions.append((time.monotonic(), version))
 
-    def come_back_from(self, copy: StoreCopy) -> None:
+    def restore_from(self, copy: StoreCopy) -> None:
         """Restore the store from a copy; operators and instances soon write lost data again."""
         now = time.monotonic()
         self.disturbed(STORE, now, now)
