--- a/src/orchidwind_bench/account/failed_commands.py
+++ b/src/orchidwind_bench/account/failed_commands.py
@@ -30,7 +30,7 @@
     NO_PRIMARY = "waited for a primary"
     NO_REPLICA = "no instance had what the read must see"
     REFUSED_AT_ONCE = "refused on arrival"
-    QUEUED_IN_VAIN = "refused after waiting for an instance"
+    REFUSED_AFTER_WAITING = "refused after waiting for an instance"
     INSTANCE_LOST = "the instance's connection was lost"
     HOME_LOST = "the home was lost"
     NOT_ANSWERED = "the instance did not answer in time"
@@ -46,7 +46,7 @@
     ErrorKind.NO_PRIMARY: Cause.NO_PRIMARY,
     ErrorKind.NO_REPLICA: Cause.NO_REPLICA,
     ErrorKind.NO_HOME: Cause.HOME_LOST,
-    ErrorKind.DEADLINE_PASSED: Cause.QUEUED_IN_VAIN,
+    ErrorKind.DEADLINE_PASSED: Cause.REFUSED_AFTER_WAITING,
     ErrorKind.STATEMENT_TIMEOUT: Cause.NOT_ANSWERED,
     ErrorKind.OUTCOME_UNKNOWN: Cause.NOT_ANSWERED,
     ErrorKind.READ_INTERRUPTED: Cause.NOT_ANSWERED,
@@ -83,7 +83,7 @@
     reason = line.fields.get("reason", "")
     if reason == ErrorKind.OVERLOADED.value:
         at_once = float(line.fields.get("milliseconds", "inf")) < _AT_ONCE_MILLISECONDS
-        return Cause.REFUSED_AT_ONCE if at_once else Cause.QUEUED_IN_VAIN
+        return Cause.REFUSED_AT_ONCE if at_once else Cause.REFUSED_AFTER_WAITING
     known = {kind.value: cause for kind, cause in _BY_KIND.items()}
     return known.get(reason, Cause.UNEXPLAINED)
 
--- a/src/orchidwind_bench/platform/soak/callers.py
+++ b/src/orchidwind_bench/platform/soak/callers.py
@@ -35,7 +35,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ShownNumber:
+class ReadObservation:
     """The number that a read returned for a thing, and what decides which number is required.
 
     The read must see the commits acknowledged `before` a time of the monotonic clock, and the
@@ -66,7 +66,7 @@
     answers: dict[str, int] = field(default_factory=dict)
     acknowledged_by: dict[tuple[str, int], tuple[float, str]] = field(default_factory=dict)
     excused: set[tuple[str, int]] = field(default_factory=set)
-    old_reads: list[ShownNumber] = field(default_factory=list)
+    old_reads: list[ReadObservation] = field(default_factory=list)
 
     def newest(
         self, thing: str, before: float, without: frozenset[tuple[str, int]] = frozenset()
@@ -76,13 +76,13 @@
         return max((n for at, n in commits if at < before and (thing, n) not in without), default=0)
 
     def required_number(
-        self, read: ShownNumber, without: frozenset[tuple[str, int]] = frozenset()
+        self, read: ReadObservation, without: frozenset[tuple[str, int]] = frozenset()
     ) -> int:
         """The lowest number that a read may return; ignores the writes in `without`."""
         own = 0 if (read.thing, read.own) in without else read.own
         return max(self.newest(read.thing, read.before, without), own)
 
-    def judge_reads(self, lost: set[tuple[str, int]], order: Mapping[tuple[str, int], int]) -> None:
+    def check_reads(self, lost: set[tuple[str, int]], order: Mapping[tuple[str, int], int]) -> None:
         """Add a STALE violation for each read that returned too low a number.
 
         Commits in `lost` are ignored, as each already counts as a LOST violation. `order` gives the
@@ -101,7 +101,7 @@
 
     def _saw_all_required(
         self,
-        read: ShownNumber,
+        read: ReadObservation,
         without: frozenset[tuple[str, int]],
         order: Mapping[tuple[str, int], int],
     ) -> bool:
@@ -270,7 +270,7 @@
         shown = lines[0].removeprefix("DATAROW ")
         number = int(shown) if shown.isdigit() else 0
         before, own = self._required_commits(thing, began)
-        read = ShownNumber(request_id, self._database, thing, number, before, own)
+        read = ReadObservation(request_id, self._database, thing, number, before, own)
         if number < self._record.required_number(read):
             self._record.old_reads.append(read)
 
--- a/src/orchidwind_bench/platform/soak/fault_claims.py
+++ b/src/orchidwind_bench/platform/soak/fault_claims.py
@@ -23,7 +23,7 @@
         if name in self._claimed:
             return False
         self._claimed.add(name)
-        self._system.disturbed(_part(name), time.monotonic(), float("inf"))
+        self._system.record_disturbance(_part(name), time.monotonic(), float("inf"))
         return True
 
     def claimed(self, name: str) -> bool:
--- a/src/orchidwind_bench/platform/soak/instance_faults.py
+++ b/src/orchidwind_bench/platform/soak/instance_faults.py
@@ -144,8 +144,8 @@
         instance, group = self._some_instance(part), self._group(part)
         if instance is None or instance.cut_from_store:
             return None
-        group.set_away(instance, True)
-        return lambda: group.set_away(instance, False)
+        group.set_cut_from_store(instance, True)
+        return lambda: group.set_cut_from_store(instance, False)
 
     def _release_instance(self, part: int, instance: SoakInstance | None) -> Undo:
         group = self._group(part)
@@ -157,7 +157,7 @@
             group.spawn(group.leave(instance))
             return None
         # Every other release hands the log to a successor, and so leaves one more instance.
-        group.spawn(group.release(instance, passes_on=part // PART_STEP % 2 == 0))
+        group.spawn(group.release(instance, hand_over_log=part // PART_STEP % 2 == 0))
         return None
 
     def release_primary(self, part: int) -> Undo:
--- a/src/orchidwind_bench/platform/soak/instances.py
+++ b/src/orchidwind_bench/platform/soak/instances.py
@@ -281,7 +281,7 @@
             (item.cut.add if cut else item.cut.discard)(far.name)
             self._send_situation(item)
 
-    def set_away(self, instance: SoakInstance, cut_from_store: bool) -> None:
+    def set_cut_from_store(self, instance: SoakInstance, cut_from_store: bool) -> None:
         """Set whether an instance is cut from the store; if so, its entry expires later."""
         self.note(f"{instance.name} is {'cut from' if cut_from_store else 'back at'} the store")
         instance.cut_from_store = cut_from_store
@@ -289,16 +289,16 @@
 
     # --- releases -------------------------------------------------------------------------------
 
-    async def release(self, old: SoakInstance, passes_on: bool) -> None:
+    async def release(self, old: SoakInstance, hand_over_log: bool) -> None:
         """Let a new instance join, then drain and end an old one.
 
-        With `passes_on`, a successor then starts at the old address with a copy of the old log.
+        With `hand_over_log`, a successor then starts at the old address with a copy of the old log.
         """
         times = self.times
         await self.join()
         await asyncio.sleep(self._random.uniform(*times.before_draining))
         await self.leave(old)
-        if not passes_on:
+        if not hand_over_log:
             return
         await asyncio.sleep(self._random.uniform(*times.before_successor))
         successor = self._new(old.port)
--- a/src/orchidwind_bench/platform/soak/promises.py
+++ b/src/orchidwind_bench/platform/soak/promises.py
@@ -131,7 +131,7 @@
         for index, entry in enumerate(history.last_log())
         for thing, data in entry.writes
     }
-    record.judge_reads(lost, order)
+    record.check_reads(lost, order)
     return losing
 
 
--- a/src/orchidwind_bench/platform/soak/store_faults.py
+++ b/src/orchidwind_bench/platform/soak/store_faults.py
@@ -29,7 +29,7 @@
     def lapse_directory(self, part: int) -> Undo:
         """Remove the entries of all instances; the instances write them again later."""
         now = time.monotonic()
-        self._system.disturbed(STORE, now, now)
+        self._system.record_disturbance(STORE, now, now)
         self._system.directory.lapse()
 
         def come_back() -> None:
@@ -66,7 +66,7 @@
     def forget_history(self, part: int) -> Undo:
         """Let the store drop its history of changes."""
         now = time.monotonic()
-        self._system.disturbed(STORE, now, now)
+        self._system.record_disturbance(STORE, now, now)
         self._system.store.forget_history()
         return None
 
--- a/src/orchidwind_bench/platform/soak/system.py
+++ b/src/orchidwind_bench/platform/soak/system.py
@@ -194,7 +194,7 @@
     def restore_from(self, copy: StoreCopy) -> None:
         """Restore the store from a copy; operators and instances soon write lost data again."""
         now = time.monotonic()
-        self.disturbed(STORE, now, now)
+        self.record_disturbance(STORE, now, now)
         self.store.restore_from(copy)
         held = {name: item.spec for (kind, name), item in copy.objects.items() if kind == "servers"}
         present = [item for group in self.groups.values() for item in group.present()]
@@ -230,7 +230,7 @@
 
     # --- disturbances -------------------------------------------------------------------------
 
-    def disturbed(self, part: str, begin: float, end: float) -> None:
+    def record_disturbance(self, part: str, begin: float, end: float) -> None:
         """Record that a proxy or the store is disturbed during a span; `end` may be infinite."""
         self._disturbances.setdefault(part, []).append((begin, end))
 
--- a/tests/promoted/soak/test_soak.py
+++ b/tests/promoted/soak/test_soak.py
@@ -87,7 +87,7 @@
     answer = ProbeAnswer("proxy-0", version, sent_at, sent_at, served)
     found = broken_promise(system, answer, newest_seen)
     assert (broken in found) if broken else found == ""
-    system.disturbed("store", 80.0, 99.8)
+    system.record_disturbance("store", 80.0, 99.8)
     assert broken_promise(system, answer, 0) == "", "not 4 s after a disturbance"
 
 
--- a/tests/promoted/soak/test_soak_instances.py
+++ b/tests/promoted/soak/test_soak_instances.py
@@ -7,7 +7,7 @@
 from tornado.tcpclient import TCPClient
 
 from orchidwind_bench.platform.soak import directory as soak_directory
-from orchidwind_bench.platform.soak.callers import Record, ShownNumber
+from orchidwind_bench.platform.soak.callers import ReadObservation, Record
 from orchidwind_bench.platform.soak.directory import Directory
 from orchidwind_bench.platform.soak.instance_state import HOST, InstanceTimes
 from orchidwind_bench.platform.soak.instances import InstanceGroup
@@ -339,7 +339,7 @@
         group.on_entry = follow
         await ask(primary, "WRITE t0 1")
         await until(lambda: has(old, 1))
-        await group.release(old, passes_on=True)
+        await group.release(old, hand_over_log=True)
         new, successor = group.instances[f"{SERVICE}-i3"], group.instances[f"{SERVICE}-i4"]
         assert 0.005 <= entered[new.name] <= 0.03, "its entry follows"
         assert (old.ended, successor.port) == (True, old.port)
@@ -391,12 +391,12 @@
         store.refuse_with = 0
         await asyncio.sleep(0.1)
         assert listed(first)
-        group.set_away(first, True)
+        group.set_cut_from_store(first, True)
         await asyncio.sleep(0.1)
         assert listed(first)
         await asyncio.sleep(0.4)
         assert not listed(first)
-        group.set_away(first, False)
+        group.set_cut_from_store(first, False)
         await asyncio.sleep(0.1)
         assert listed(first)
 
@@ -486,11 +486,11 @@
 
 def test_an_old_read_is_stale_unless_what_it_lacks_was_lost():
     record, history = promoted_without(told_at=2.2)
-    record.old_reads = [ShownNumber("a", "latest", "t0", 1, before=9.0, own=0)]
+    record.old_reads = [ReadObservation("a", "latest", "t0", 1, before=9.0, own=0)]
     check_group(record, history)
     assert not any(item.startswith("STALE") for item in record.broken)
-    record.old_reads = [ShownNumber("a", "latest", "t0", 0, before=9.0, own=0)]
-    record.judge_reads({("t0", 2)}, {})
+    record.old_reads = [ReadObservation("a", "latest", "t0", 0, before=9.0, own=0)]
+    record.check_reads({("t0", 2)}, {})
     assert record.broken[-1] == "STALE: a on latest shows 0 of t0, not 1"
 
 
@@ -508,8 +508,8 @@
     """The first write was in doubt, and took effect late."""
     record = Record()
     acknowledged(record, 2, 1.0)
-    record.old_reads = [ShownNumber("a", "latest", "t0", 1, before=9.0, own=own)]
-    record.judge_reads(set(), {("t0", number): index for index, number in enumerate(logged)})
+    record.old_reads = [ReadObservation("a", "latest", "t0", 1, before=9.0, own=own)]
+    record.check_reads(set(), {("t0", number): index for index, number in enumerate(logged)})
     assert bool(record.broken) == stale
 
 
--- a/tests/shared/test_failed_commands.py
+++ b/tests/shared/test_failed_commands.py
@@ -18,7 +18,7 @@
     ("line", "cause"),
     [
         (failed("overloaded", 1), Cause.REFUSED_AT_ONCE),
-        (failed("overloaded", 200), Cause.QUEUED_IN_VAIN),
+        (failed("overloaded", 200), Cause.REFUSED_AFTER_WAITING),
         (failed("no_primary", 400), Cause.NO_PRIMARY),
         (failed("statement_timeout", 800, "1: i-0:connection_lost"), Cause.INSTANCE_LOST),
         (failed("outcome_unknown", 87, "1: p-2:home_lost:sent=True"), Cause.HOME_LOST),
