--- a/src/orchidwind/promoted/__init__.py
+++ b/src/orchidwind/promoted/__init__.py
@@ -1,1 +1,1 @@
-"""The proxy of groups whose primary is promoted by a call of a proxy."""
+"""The proxy for promoted groups: groups in which a proxy calls for the promotion of a primary."""
--- a/src/orchidwind/promoted/background_tasks.py
+++ b/src/orchidwind/promoted/background_tasks.py
@@ -1,6 +1,6 @@
-"""What a proxy does in the background, from its start to its end.
+"""The background tasks of a proxy, from its start to its end.
 
-For: `proxy_runtime`. Owns the tasks: one that ends by an error leaves a line, and all end together.
+For: `proxy_runtime`. Owns the tasks. A task that fails is logged, and `close` cancels all of them.
 """
 
 from __future__ import annotations
@@ -15,17 +15,17 @@
 
 
 class BackgroundTasks:
-    """The tasks of one proxy."""
+    """The background tasks of one proxy."""
 
     def __init__(self) -> None:
         self._tasks: list[asyncio.Task[None]] = []
 
     def spawn(self, work: Work) -> None:
-        """Begin work that goes on until it ends by itself, or the proxy closes."""
+        """Start a task that runs until it ends by itself or the proxy is closed."""
         self._tasks.append(asyncio.get_running_loop().create_task(_logged(work)))
 
     def close(self) -> None:
-        """Cancel all."""
+        """Cancel all tasks."""
         for task in self._tasks:
             task.cancel()
 
@@ -33,6 +33,6 @@
 async def _logged(work: Work) -> None:
     try:
         await work()
-    except Exception as error:  # what ends without a trace is missed later, not now
+    except Exception as error:  # an unlogged failure would stay unnoticed
         log_event("task_ended_unexpectedly", level=logging.ERROR, reason=repr(error))
         raise
--- a/src/orchidwind/promoted/callers/__init__.py
+++ b/src/orchidwind/promoted/callers/__init__.py
@@ -1,1 +1,1 @@
-"""Drivers of promoted groups: the sessions of callers and the commands that they send."""
+"""Drivers for callers of promoted groups: their sessions and the commands that they send."""
--- a/src/orchidwind/promoted/callers/command_runner.py
+++ b/src/orchidwind/promoted/callers/command_runner.py
@@ -1,9 +1,9 @@
-"""Runs the commands of one session on a group of this proxy: drives the flows of the core.
+"""Runs the commands of one session on a group of this proxy by driving the flows of the core.
 
-For: `session_executor` (own callers) and `peers.remote_session` (callers of other proxies). Owns
-the connections that a running command holds, until its flow gives them back. Relies on `core.flows`
-for what is done and in which order, on `GroupService` for instances, on `core.command_limits` for
-times.
+For: `session_executor` (callers of this proxy) and `peers.remote_session` (callers of other
+proxies). Owns the connections that a running command holds until its flow releases them. Relies on
+`core.flows` for the steps and their order, on `GroupService` to reach the instances, and on
+`core.command_limits` for time limits.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 
 
 class CommandRunner:
-    """The commands of one session, one at a time."""
+    """Runs the commands of one session, one at a time."""
 
     def __init__(self, session: Session, quotas: Quotas) -> None:
         self.caller_gone = False
@@ -47,21 +47,22 @@
     async def run(
         self, context: CommandContext, group: GroupService, limits: TimeLimits
     ) -> CommandResult:
-        """Carry a command out; raises RequestError."""
-        counts = self._counts(context)
-        if counts:
-            await self._quotas.pass_operation(context.tenant)
+        """Run a command and return its result; raises RequestError."""
+        counted = self._counts_against_quota(context)
+        if counted:
+            await self._quotas.admit_operation(context.tenant)
         try:
             return await self._drive(context, group, limits)
         except RequestError:
-            if counts and not context.sent_to:
-                self._quotas.give_back(context.tenant)
+            if counted and not context.sent_to:
+                self._quotas.refund(context.tenant)
             raise
 
-    def _counts(self, context: CommandContext) -> bool:
-        """Whether a command is the first of its operation that an instance is to run.
+    def _counts_against_quota(self, context: CommandContext) -> bool:
+        """Whether a command starts an operation that counts against its tenant's quota.
 
-        Operations count against their tenant's quota: a single statement, or a whole transaction.
+        An operation is a single statement or a whole transaction. A transaction is counted once, by
+        its first command that is sent to an instance.
         """
         if context.tenant == NO_TENANT or context.command.kind is CommandKind.ROLLBACK:
             return False
@@ -78,10 +79,10 @@
                 thrown_in=(RequestError, BackendConnectionLost),
             )
         finally:
-            self._close_leftovers(group)
+            self._close_unreleased(group)
 
-    def _close_leftovers(self, group: GroupService) -> None:
-        """Close connections that the flow left without a word: their state is uncertain."""
+    def _close_unreleased(self, group: GroupService) -> None:
+        """Close connections that the flow did not release: their state is uncertain."""
         transaction = self._session.transaction
         of_transaction = transaction.connection if transaction is not None else 0
         for connection in self._held - {of_transaction}:
@@ -91,7 +92,7 @@
     async def _perform(
         self, step: Step, context: CommandContext, group: GroupService, limits: TimeLimits
     ) -> StepResult:
-        if self.caller_gone and not _only_ends(step):
+        if self.caller_gone and not _is_cleanup(step):
             raise RequestError(ErrorKind.CANCELLED, "the caller has gone")
         hold_until = limits.hold_until
         if isinstance(step, WaitForPrimary):
@@ -136,8 +137,8 @@
         await asyncio.sleep(seconds)
 
 
-def _only_ends(step: Step) -> bool:
-    """Whether a step only gives back what the session holds."""
+def _is_cleanup(step: Step) -> bool:
+    """Whether a step starts no work for the caller: it only rolls back or releases a connection."""
     if isinstance(step, Exchange):
         return all(message.kind is MessageKind.ROLLBACK for message in step.messages)
     return isinstance(step, Release)
--- a/src/orchidwind/promoted/callers/session_executor.py
+++ b/src/orchidwind/promoted/callers/session_executor.py
@@ -1,8 +1,9 @@
-"""Carries out the commands of one caller's session, at this proxy or at the group's home.
+"""Runs the commands of one caller's session, at this proxy or at a home proxy of the group.
 
-For: the callers' edge, one object a session. Owns the session's state and the time for which its
-transaction may rest. Relies on `command_runner` here, on `peers.forwarding` where another proxy is
-the group's home, and on `core.session` for what needs no instance.
+For: the code that accepts callers, with one executor for each session. Owns the session's state
+and the idle timer of its transaction. Relies on `command_runner` to run a command at this proxy, on
+`peers.forwarding` to send it to a home proxy, and on `core.session` for commands that need no
+instance.
 """
 
 from __future__ import annotations
@@ -29,75 +30,75 @@
 from orchidwind.shared.core.tenant_connections import NO_TENANT
 from orchidwind.shared.logs import log_event
 
-# So many attempts go into a log line. The last ones tell the outcome.
+# How many attempts a log line shows at most. The last ones explain the outcome.
 _LOGGED_ATTEMPTS = 6
 
 
-class Databases(Protocol):
-    """What an executor needs to know of the configuration in force."""
+class SessionServices(Protocol):
+    """What a session executor needs of its proxy."""
 
     transaction_idle: float
 
     @property
     def homes(self) -> Homes:
-        """Where the groups' connections are held."""
+        """The home proxies of the groups, and the links to them."""
 
     @property
     def quotas(self) -> Quotas:
-        """How much tenants may ask."""
+        """Admits the operations of tenants by their quotas."""
 
     def database(self, name: str) -> DatabaseRoute | None:
-        """A database as callers name it."""
+        """The route of a database by the name that callers use; None if it does not exist."""
 
     def tenant_of(self, database: str, key_digest: bytes) -> str:
-        """The tenant that a request belongs to, empty where no key is needed.
+        """The tenant that a request belongs to; NO_TENANT for a database that needs no key.
 
-        Raises RequestError where the key is held by nobody, or cannot be judged.
+        Raises RequestError if no tenant has the key, or the configuration is too old to tell.
         """
 
     def group(self, name: str) -> GroupService | None:
-        """The group of a database."""
+        """A group by name; None if it does not exist."""
 
     def forwarded(self, outcome: str) -> None:
-        """A command that was sent to a home has ended; takes its measurement."""
+        """Count a command that was forwarded to a home proxy and has ended."""
 
-    def sample_success(self) -> bool:
-        """Whether this success is one of those that are logged."""
+    def should_log_success(self) -> bool:
+        """Count a successful command. Returns whether it is to be logged."""
 
     def finished(
         self, database: DatabaseRoute, command: Command, error: ErrorKind | None, seconds: float
     ) -> None:
-        """A command ended; takes its measurement."""
+        """Record the metrics of a command that has ended."""
 
 
 class SessionExecutor:
-    """One session. `execute` is called for one command at a time."""
+    """Runs the commands of one session. `execute` is called for one command at a time."""
 
-    def __init__(self, databases: Databases, name: str, key_digest: bytes = b"") -> None:
+    def __init__(self, services: SessionServices, name: str, key_digest: bytes = b"") -> None:
         self.name = name
         self._key_digest = key_digest
         self.session = Session()
-        self._databases = databases
+        self._databases = services
         self._loop = asyncio.get_running_loop()
         self._group: GroupService | None = None
-        self._runner = CommandRunner(self.session, databases.quotas)
-        self._forwarder = CommandForwarder(self.session, databases.homes)
+        self._runner = CommandRunner(self.session, services.quotas)
+        self._forwarder = CommandForwarder(self.session, services.homes)
         self._context: CommandContext | None = None
         self._running = False
         self._rest_timer: asyncio.TimerHandle | None = None
 
     @property
     def state(self) -> TransactionState:
-        """The state that is shown to the caller."""
+        """The transaction state that is reported to the caller."""
         return self.session.state
 
     def caller_left(self) -> None:
-        """The caller has gone: nothing more is begun for it."""
+        """Stop starting work for this session: its caller has disconnected."""
         self._runner.caller_gone = True
         self._forwarder.caller_left()
 
     async def execute(self, command: Command) -> CommandResult:
-        """Carry a command out; raises RequestError."""
+        """Run a command and return its result; raises RequestError."""
         arrived_at = self._loop.time()
         self._context = None
         self._running = True
@@ -111,13 +112,13 @@
             self._fail_transaction()
             raise
         finally:
-            self._note_rest()
+            self._command_ended()
             seconds = self._loop.time() - arrived_at
             if database is not None:
                 self._databases.finished(database, command, kind, seconds)
             if kind is not None:
                 self._log_failure(command, kind, seconds)
-            elif self._databases.sample_success():
+            elif self._databases.should_log_success():
                 self._log_success(command, seconds)
 
     def _log_success(self, command: Command, seconds: float) -> None:
@@ -131,7 +132,7 @@
         )
 
     def _attempts(self) -> str:
-        """What the command's attempts were based on and how they ended; the last ones."""
+        """A summary of the last attempts for the log: what each was based on and how it ended."""
         context = self._context
         if context is None:
             return ""
@@ -163,10 +164,10 @@
             return transaction.database
         return self._databases.database(self.name)
 
-    # --- transactions that rest ---------------------------------------------------------------
+    # --- Idle transactions --------------------------------------------------------------------
 
     def _expire_transaction(self, now: float) -> None:
-        """End a transaction that has rested for longer than is allowed."""
+        """Fail the transaction if it has been idle for longer than is allowed."""
         transaction = self.session.transaction
         if transaction is None:
             return
@@ -174,18 +175,18 @@
             log_event("transaction_expired", database=self.name, instance=transaction.instance)
             self._fail_transaction()
 
-    def _note_rest(self) -> None:
-        """A command has ended: from now on an open transaction rests."""
+    def _command_ended(self) -> None:
+        """A command has ended: an open transaction is idle from now on."""
         self._running = False
         if self.session.transaction is None:
             return
         self.session.transaction.last_used = self._loop.time()
         if self._rest_timer is None:
             idle = self._databases.transaction_idle
-            self._rest_timer = self._loop.call_later(idle, self._check_rest)
+            self._rest_timer = self._loop.call_later(idle, self._check_idle)
 
-    def _check_rest(self) -> None:
-        """A transaction that rests holds a connection that others may wait for."""
+    def _check_idle(self) -> None:
+        """Fail the transaction if it was idle for too long: others may wait for its connection."""
         self._rest_timer = None
         transaction = self.session.transaction
         if transaction is None or self._running:
@@ -194,9 +195,9 @@
         self._expire_transaction(now)
         if self.session.transaction is not None:
             due = transaction.last_used + self._databases.transaction_idle
-            self._rest_timer = self._loop.call_at(due, self._check_rest)
+            self._rest_timer = self._loop.call_at(due, self._check_idle)
 
-    # --- commands -----------------------------------------------------------------------------
+    # --- Commands -----------------------------------------------------------------------------
 
     def _fail_transaction(self) -> None:
         transaction = self.session.transaction
@@ -226,9 +227,10 @@
         return await self._run(command, database, arrived_at, tenant)
 
     def _tenant(self, command: Command, database: DatabaseRoute) -> str:
-        """The tenant that a command belongs to; raises RequestError.
+        """The tenant that a command belongs to; raises RequestError if its key is not valid.
 
-        A COMMIT without a valid key is not sent: the transaction is rolled back.
+        A COMMIT without a valid key is not sent: the transaction is rolled back. A ROLLBACK needs
+        no valid key.
         """
         transaction = self.session.transaction
         if command.kind is CommandKind.ROLLBACK:
@@ -247,7 +249,7 @@
     async def _run(
         self, command: Command, database: DatabaseRoute, arrived_at: float, tenant: str
     ) -> CommandResult:
-        """Carry out a command that needs an instance, here or at the group's home."""
+        """Run a command that needs an instance, at this proxy or at a home proxy of the group."""
         group = self._group_of(database)
         context = CommandContext(
             self.session, group.state, database, command, arrived_at, tenant=tenant
@@ -262,7 +264,7 @@
         return await self._runner.run(context, group, limits)
 
     async def _forward(self, context: CommandContext, limits: TimeLimits) -> CommandResult | None:
-        """Have the group's home carry a command out; None where no home is left."""
+        """Have a home proxy of the group run a command; None if no home proxy is left to try."""
         outcome = "no_home"
         try:
             result = await self._forwarder.run(context, limits)
@@ -276,7 +278,7 @@
 
     @property
     def _opened_here(self) -> bool:
-        """Whether a transaction is open on a connection of this proxy."""
+        """Whether a transaction is open on a server connection of this proxy."""
         transaction = self.session.transaction
         return transaction is not None and transaction.connection > 0
 
@@ -291,7 +293,10 @@
         return group
 
     def _after_failure(self, command: Command) -> CommandResult:
-        """In a failed transaction only its end is taken; both ends roll back."""
+        """Answer a command in a failed transaction: only COMMIT and ROLLBACK are accepted.
+
+        Both roll the transaction back. Raises RequestError, except for a ROLLBACK.
+        """
         if command.kind is CommandKind.ROLLBACK:
             self.session.end_transaction()
             return CommandResult()
@@ -303,7 +308,7 @@
     def _begin(
         self, command: Command, database: DatabaseRoute, arrived_at: float, tenant: str
     ) -> CommandResult:
-        """The transaction is opened on an instance with its first statement."""
+        """Begin a transaction. It is opened on an instance only with its first statement."""
         if self.session.transaction is not None:
             raise RequestError(ErrorKind.PROTOCOL_VIOLATION, "a transaction is open already")
         read_only = command.kind is CommandKind.BEGIN_READ_ONLY
@@ -313,7 +318,7 @@
         return CommandResult()
 
     def close(self) -> None:
-        """The caller is gone: an open transaction is rolled back."""
+        """End the session: its caller has disconnected, and an open transaction is rolled back."""
         if self._rest_timer is not None:
             self._rest_timer.cancel()
         self.caller_left()
--- a/src/orchidwind/promoted/flow_driver.py
+++ b/src/orchidwind/promoted/flow_driver.py
@@ -1,7 +1,7 @@
-"""Drives a flow: carries out each step that it yields, and sends it the outcome.
+"""Drives a flow: performs each step that the generator yields, and sends it the outcome.
 
-For: `callers/command_runner.py` and `group/failover_runner.py`. Owns nothing. An OrchidwindError of
-a step is thrown into the flow, which decides what it means.
+For: `callers/command_runner.py` and `group/failover_runner.py`. Owns nothing. Expected errors
+of a step are thrown into the flow, which decides how to go on.
 """
 
 from __future__ import annotations
@@ -23,7 +23,8 @@
 ) -> Result:
     """Run a flow to its end and return its result.
 
-    Errors of the kinds `thrown_in` that a step raises are thrown into the flow; others end it.
+    An error of a kind in `thrown_in` that a step raises is thrown into the flow. Other errors end
+    the flow and are raised.
     """
     outcome: Outcome | None = None
     error: OrchidwindError | None = None
--- a/src/orchidwind/promoted/instance_directory.py
+++ b/src/orchidwind/promoted/instance_directory.py
@@ -1,9 +1,9 @@
-"""The directory of instances as this proxy holds it.
+"""This proxy's copy of the directory of instances.
 
-For: `proxy_runtime`; it is the follower of the directory's watch. Owns the entries and the newest
-life of each instance, and passes each change on to the group that it belongs to. An entry stands
-under the instance's identity, and what is kept here under the name of a life
-(`instance_incarnations`).
+For: `proxy_runtime`, which has it follow the watch of the directory. Owns the entries and the
+newest incarnation of each instance, and passes each change on to the instance's group. In the store
+an entry is kept under the identity of the instance, here under the name of its incarnation
+(`instance_lives`).
 """
 
 from __future__ import annotations
@@ -17,25 +17,25 @@
 
 
 class InstanceDirectory:
-    """All entries, by instance. `read` tells whether the directory was read as a whole."""
+    """All entries by instance. `read` is whether the whole directory was read since the start."""
 
     def __init__(self, groups: Mapping[str, GroupService], on_read: Callable[[], None]) -> None:
-        """`on_read` is called after each whole reading."""
+        """`on_read` is called after each read of the whole directory."""
         self.entries: dict[str, DirectoryEntry] = {}
         self.read = False
-        # The newest life of each instance that was ever listed, by its identity.
+        # The newest incarnation of each instance that was ever listed, by identity.
         self._newest: dict[str, str] = {}
         self._groups = groups
         self._on_read = on_read
 
     def add_group(self, group: GroupService) -> None:
-        """A group is new here: it gets the entries that are known already."""
+        """Pass the known entries of a new group on to it."""
         for entry in self.entries.values():
             if entry.group == group.settings.name:
                 group.view_changes.entry_changed(entry)
 
     def listed(self, listing: Listing[DirectoryEntry]) -> bool:
-        """The whole directory was read; whether it differs from the one that was held."""
+        """Apply a read of the whole directory. Returns whether it differs from the held copy."""
         listed = {entry.instance: entry for entry in listing.items if self._is_newest(entry)}
         differs = listed != self.entries or not self.read
         identities = {identity_of(name) for name in listed}
@@ -48,7 +48,7 @@
         return differs
 
     def changed(self, changes: Changes[DirectoryEntry]) -> None:
-        """Entries that came, changed or went."""
+        """Apply entries that were added, changed or removed."""
         for entry in changes.changed:
             if self._is_newest(entry):
                 self._entry_listed(entry)
@@ -57,7 +57,7 @@
             self._entry_gone(name, removal_unseen=False)
 
     def _is_newest(self, entry: DirectoryEntry) -> bool:
-        """Whether an entry is of the newest life that is known: a late one revives no older."""
+        """Whether an entry is not of an older incarnation than the newest known one."""
         newest = self._newest.get(identity_of(entry.instance))
         return newest is None or start_of(entry.instance) >= start_of(newest)
 
@@ -66,21 +66,27 @@
         before = self._newest.get(identity, entry.instance)
         self._newest[identity] = entry.instance
         if before != entry.instance:
-            self._life_ended(before, entry)
+            self._incarnation_replaced(before, entry)
         self.entries[entry.instance] = entry
         group = self._groups.get(entry.group)
         if group is not None:
             group.view_changes.entry_changed(entry)
 
-    def _life_ended(self, before: str, entry: DirectoryEntry) -> None:
-        """The instance has started anew; it may have been listed no more, or for another group."""
+    def _incarnation_replaced(self, before: str, entry: DirectoryEntry) -> None:
+        """Replace the incarnation `before` of an instance that has restarted.
+
+        Its old entry may be gone already, or may have named another group.
+        """
         self.entries.pop(before, None)
         for group in self._groups.values():
             if before in group.topology.instances:
                 group.incarnation_ended(before, entry.instance)
 
     def _entry_gone(self, instance: str, removal_unseen: bool) -> None:
-        """An instance is no longer listed; `removal_unseen`: it may come back."""
+        """Drop an instance that is no longer listed.
+
+        `removal_unseen` is set where only its absence was seen, so that it may come back.
+        """
         entry = self.entries.pop(instance, None)
         group = self._groups.get(entry.group) if entry is not None else None
         if group is not None:
--- a/src/orchidwind/promoted/ports.py
+++ b/src/orchidwind/promoted/ports.py
@@ -1,8 +1,9 @@
-"""The ports of a proxy of promoted groups, each with an adapter for a protocol and for tests.
+"""The ports of a proxy for promoted groups. Adapters implement each for a protocol and for tests.
 
-For: `promoted.group`, `peers` and `views`, which call them; `platform` and the simulated worlds,
-which fill them in. Owns the contract of each call: what it does, what it raises. No code and no
-I/O. Adapters neither repeat a call nor choose how long it may take beyond `core.call_limits`.
+For: `promoted.group`, `peers` and `views`, which call the ports; `platform` and the simulated
+systems, which implement them. Owns the contract of each call: what it does and what it raises.
+Contains no logic and no I/O. Adapters do not retry a call, and set no time limits beyond those of
+`core.call_limits`.
 """
 
 from __future__ import annotations
@@ -28,48 +29,49 @@
 
 
 class InstanceLink(Protocol):
-    """One server connection."""
+    """One connection to an instance."""
 
     async def exchange(self, messages: tuple[InstanceMessage, ...]) -> tuple[Reply, ...]:
-        """Send messages and wait for all replies; raises BackendConnectionLost."""
+        """Send messages and return all replies; raises BackendConnectionLost."""
 
     async def status(self) -> InstanceStatus:
-        """Ask for the status; raises BackendConnectionLost, or BackendRefused where busy."""
+        """Ask for the status; raises BackendConnectionLost, or BackendRefused if it is busy."""
 
     async def fence(self, term: int) -> InstanceStatus:
-        """Keep the instance from receiving of primaries below `term`; raises as `status`."""
+        """Have the instance accept no log from primaries below `term`; raises as `status`."""
 
     async def unfence(self) -> InstanceStatus:
-        """Let the instance receive again; raises as `status`."""
+        """Remove the fence, so that the instance receives the log again; raises as `status`."""
 
     async def demote(self, term: int) -> InstanceStatus:
-        """Turn a primary of a lower term into a replica; raises as `status`."""
+        """Turn a primary of a term below `term` into a replica; raises as `status`."""
 
     def close(self) -> None:
-        """Close at once; the instance rolls back what is open."""
+        """Close at once; the instance rolls back an open transaction."""
 
 
 class InstanceConnector(Protocol):
-    """Opens server connections."""
+    """Opens connections to instances."""
 
     async def connect(
         self, entry: DirectoryEntry, on_lost: Callable[[], None], tenant: str
     ) -> InstanceLink:
-        """Open a connection for a tenant's statements, or the proxy's own where it is empty.
+        """Open a connection for the statements of a tenant.
 
-        Raises BackendRefused or BackendConnectionLost.
+        An empty `tenant` opens a connection for the proxy itself. `on_lost` is called when the
+        connection is lost. Raises BackendRefused or BackendConnectionLost.
         """
 
 
 class Listing(Struct, Generic[Item], frozen=True):
-    """All items of a collection, as of a revision."""
+    """All items of a collection at a revision of the store."""
 
     items: tuple[Item, ...]
     revision: StoreRevision
 
 
 class Changes(Struct, Generic[Item], frozen=True):
-    """Items that changed and names that went, up to a revision."""
+    """The items that changed and the names that were removed, up to a revision of the store."""
 
     changed: tuple[Item, ...]
     gone: tuple[str, ...]
@@ -77,21 +79,21 @@
 
 
 class WatchedCollection(Protocol[Item]):
-    """A collection in the store that can be followed; calls raise PlatformError.
+    """A collection in the store that can be watched; calls raise PlatformError.
 
-    `limit` is after how many seconds a call without an answer is given up; one that is arriving is
-    waited for longer, and `on_arrival` called as it comes.
+    A call that gets no answer is given up after `limit` seconds. An answer that is arriving is
+    waited for longer, and `on_arrival` is called whenever part of it arrives.
     """
 
     async def list(self, limit: float, on_arrival: Callable[[], None]) -> Listing[Item]:
-        """Read all of it, freshly."""
+        """Read the whole collection from the store."""
 
     async def watch(
         self, revision: StoreRevision, wait: float, limit: float, on_arrival: Callable[[], None]
     ) -> Changes[Item]:
-        """Wait some seconds for changes after a revision, in its era.
+        """Wait up to `wait` seconds for changes after a revision, in the era of that revision.
 
-        Raises PlatformVersionGone where the revision is too old, or of another era.
+        Raises PlatformVersionGone if the revision is too old or belongs to another era.
         """
 
 
@@ -107,22 +109,23 @@
     """The promotion lock's object in the store."""
 
     async def read(self) -> LockRecord:
-        """The record of the present era, which may be absent; raises PlatformError."""
+        """The lock's record in the present era, which may not exist; raises PlatformError."""
 
     async def write(self, record: LockRecord, create: bool) -> LockRecord:
-        """Write over `record.revision`, or create it, in its era; the record as it is now.
+        """Replace the record at `record.revision`, or create it, in the era of that revision.
 
-        Raises PlatformConflict where it has changed or its era is over, PlatformUncertain where no
-        answer came, and PlatformError where nothing was done.
+        Returns the record as written. Raises PlatformConflict if the stored record has changed or
+        the era is over, PlatformUncertain if no answer came, and PlatformError if nothing was
+        written.
         """
 
 
 class LeaseConfirmation(Struct, frozen=True):
-    """A proxy that may hold a lead lease, and what it wrote when it last dropped it.
+    """A proxy that may hold a leadership lease, and what it wrote when it last dropped the lease.
 
-    `revision` is the lock's at that time, `first_revision` the lock's when the process began.
-    `acknowledged` is, by group, the end of the primary's log up to which it may have acknowledged
-    commits. One that has `left` holds no lease any more.
+    `revision` is the revision of the promotion lock at that time, `first_revision` the one at the
+    start of the proxy's process. `acknowledged` is, by group, the position in the primary's log up
+    to which the proxy may have acknowledged commits. A proxy that has `left` holds no lease.
     """
 
     proxy: str
@@ -133,10 +136,10 @@
 
 
 class MemberStore(Protocol):
-    """The proxies' own objects in the store; calls raise PlatformError."""
+    """The objects in the store that list the proxies; calls raise PlatformError."""
 
     async def write(self, member: ProxyMember) -> bool:
-        """Write a proxy's object, whether or not it is there; whether it was not there."""
+        """Create or replace a proxy's object. Returns whether it was created."""
 
     async def remove(self, name: str) -> None:
         """Delete a proxy's object."""
@@ -147,10 +150,10 @@
 
     @property
     def last_byte_at(self) -> float:
-        """When bytes came last, also of a message that is not whole yet; steady clock, seconds."""
+        """When bytes last arrived, also of an incomplete message; monotonic clock, seconds."""
 
     def send(self, message: PeerMessage) -> None:
-        """Send a message; nothing happens where the connection is gone."""
+        """Send a message; does nothing if the connection is closed."""
 
     def close(self) -> None:
         """Close at once."""
@@ -165,53 +168,53 @@
         on_message: Callable[[PeerMessage], None],
         on_lost: Callable[[str], None],
     ) -> PeerConnection:
-        """Open a connection; raises PeerUnavailable. `on_lost` gets the reason."""
+        """Open a connection; raises PeerUnavailable. `on_lost` is called with the reason."""
 
 
 class RosterStore(Protocol):
-    """The rosters' objects in the store."""
+    """The objects in the store that hold the rosters."""
 
     async def write(self, roster: Roster, create: bool) -> Roster:
-        """Write over `roster.revision`, or create it; the roster as it is now.
+        """Replace the roster at `roster.revision`, or create it. Returns the roster as written.
 
         Raises as `PromotionLockStore.write`.
         """
 
 
 class QuotaShareStore(Protocol):
-    """The object in the store that names who holds shares of the tenants' quotas."""
+    """The object in the store that names the holders of shares of the tenants' quotas."""
 
     async def write(self, shares: QuotaShares, create: bool) -> QuotaShares:
-        """Write over `shares.revision`, or create it; the object as it is now.
+        """Replace the object at `shares.revision`, or create it. Returns the object as written.
 
         Raises as `PromotionLockStore.write`.
         """
 
 
 class LeaseRegistry(Protocol):
-    """The proxies that may hold a lead lease; calls raise PlatformError."""
+    """The registered proxies that may hold a leadership lease; calls raise PlatformError."""
 
     async def confirm(self, confirmation: LeaseConfirmation) -> StoreRevision:
-        """Register a proxy, or record that it dropped its lease; the revision of its object."""
+        """Register a proxy, or record that it dropped its lease. Returns its object's revision."""
 
     async def confirmations(self) -> Listing[LeaseConfirmation]:
-        """All registered proxies, read freshly."""
+        """All registered proxies, read from the store."""
 
     async def leave(self, confirmation: LeaseConfirmation, revision: StoreRevision) -> None:
-        """A proxy holds no lease any more; written only if its object is at a revision."""
+        """Record that a proxy holds no lease any more, if its object is still at `revision`."""
 
 
 class PromotionService(Protocol):
-    """Makes an instance the primary of its group."""
+    """Promotes an instance to the primary of its group."""
 
     async def promote(
         self, group: str, instance: str, token: int, seconds: float
     ) -> PromotionAnswer:
-        """Send one promotion, broken off after some seconds."""
+        """Send one promotion with a fencing token; the call is given up after `seconds`."""
 
 
 class ProxyPorts(Struct, frozen=True):
-    """The adapters that a proxy is built on, and the store's era as they find it."""
+    """The adapters that a proxy is built on, and the store era that they observe."""
 
     store_era: StoreEra
     connector: InstanceConnector
--- a/src/orchidwind/promoted/proxy_runtime.py
+++ b/src/orchidwind/promoted/proxy_runtime.py
@@ -1,9 +1,10 @@
-"""One proxy for promoted groups: puts its parts together, and keeps its groups in force.
+"""One proxy for promoted groups: wires its parts together and applies configurations to its groups.
 
-For: `platform.main`, which gives it the ports, and the simulated worlds. Owns the configuration in
-force and the groups; directory, members, views, lead lease and links are owned by the parts that
-are made here. Relies on `core.homes` (through `PeerNetwork`) for which groups it holds connections
-of. A group is never taken away: one that the configuration drops is asked for by nobody.
+For: `platform.main`, which passes in the ports, and the simulated systems. Owns the configuration
+in force and the groups. The parts created here own the directory, the members, the views, the
+leadership lease and the links. Relies on `core.homes` (through `PeerNetwork`) to decide which
+groups this proxy holds server connections for. A group is never removed: no database of the
+configuration routes to a group that the configuration dropped, so it receives no requests.
 """
 
 from __future__ import annotations
@@ -50,13 +51,13 @@
 from orchidwind.shared.core.tenant_connections import NO_TENANT
 from orchidwind.shared.logs import log_event
 
-# One success in so many is logged; failures are all logged. At some hundred requests a
-# second a line or two, enough to see what a usual request does.
-_LOGGED_SUCCESSES = 200
+# One of this many successful commands is logged; every failure is. At a few hundred requests a
+# second this gives one or two lines a second, enough to see how an ordinary request runs.
+_SUCCESS_LOG_INTERVAL = 200
 
 
 class ProxyRuntime:
-    """Keeps the groups in step with configuration and directory."""
+    """Keeps the groups in line with the configuration and the directory."""
 
     def __init__(
         self,
@@ -74,7 +75,7 @@
         self.groups: dict[str, GroupService] = {}
         self._ports = ports
         self._background = BackgroundTasks()
-        self._directory = InstanceDirectory(self.groups, self._note_prepared)
+        self._directory = InstanceDirectory(self.groups, self._update_prepared)
         self._upkeep = Upkeep(self.groups, self.metrics, lambda: self.views.evidence())
         self.rosters = RosterKeeper(self.groups, ports.roster_store)
         self.store_era = era = ports.store_era
@@ -99,14 +100,14 @@
             ports.quota_share_store,
             self.homes,
             self._directory_followers,
-            self._note_prepared,
+            self._update_prepared,
         )
         self.quotas = self._tenancy.quotas
         self.metrics.tenant_operations(lambda: self.quotas.use)
         self.peer_service = PeerService(self._home_ports())
         self._coordinating = False
         self._prepared = asyncio.Event()
-        self._successes = 0
+        self._success_count = 0
 
     def _peer_network(self, own: ProxyMember) -> PeerNetwork:
         facts = PlacementInputs(
@@ -138,25 +139,27 @@
         )
 
     def start(self) -> None:
-        """Begin to follow the store."""
+        """Start to follow the store, and start the periodic maintenance."""
         self.views.follow_configuration(ConfigurationFollower(self.adopt))
         self._background.spawn(self._follow_members)
         self._background.spawn(self._upkeep.forget_old_instances)
         self._background.spawn(self._upkeep.trim_connections)
-        self._background.spawn(self._upkeep.log_figures)
+        self._background.spawn(self._upkeep.log_metrics)
 
     async def _follow_members(self) -> None:
         is_new = await self.homes.member_registration.write()
         self._background.spawn(self.homes.member_registration.keep_listed)
         if is_new:
-            # Where this proxy was never listed, others may start at the same moment: read them all.
-            await asyncio.sleep(BATCH_MEMBERS_SECONDS)
+            # A proxy that was never listed may be one of many that start at the same moment. The
+            # pause lets all of them list themselves, so that one read shows them.
+            await asyncio.sleep(GATHER_MEMBERS_SECONDS)
         self.views.follow_members()
 
-    def _coordinate(self) -> None:
-        """Follow what only homes need: directory, promotion lock, rosters, the lead lease.
+    def _start_coordination(self) -> None:
+        """Start to follow what only home proxies need, unless that has been done.
 
-        A proxy that is no home begins when it has to serve requests itself.
+        This covers the directory, the promotion lock, the rosters and the leadership lease. A proxy
+        that is not a home starts it when it has to serve requests itself.
         """
         if self._coordinating:
             return
@@ -169,38 +172,38 @@
         self._follow_quota_shares()
 
     def _follow_quota_shares(self) -> None:
-        """Follow who holds shares of the quotas, where there are tenants and callers are served."""
+        """Follow the holders of quota shares, if there are tenants and this proxy serves groups."""
         configuration = self.configuration
         if self._coordinating and configuration is not None and configuration.tenants is not None:
             self._tenancy.follow(self.views, self._background.spawn)
 
     @property
     def quota_shares(self) -> QuotaShares:
-        """Who holds shares of the tenants' quotas, as far as this proxy knows."""
+        """The holders of shares of the tenants' quotas, as last read by this proxy."""
         return self._tenancy.shares
 
     def _directory_followers(self) -> Iterable[ProxyMember]:
-        """The homes of all groups."""
+        """The home proxies of all groups, which are the ones that follow the directory."""
         homes = (home for name in self.groups for home in self.homes.placement(name).homes)
         return {home.name: home for home in homes}.values()
 
     @property
     def prepared(self) -> bool:
-        """Whether requests can be served."""
+        """Whether this proxy can serve requests."""
         return self._prepared.is_set()
 
     async def wait_prepared(self, seconds: float) -> bool:
-        """Wait until requests can be served; whether that came in time."""
+        """Wait until this proxy can serve requests; False if that takes longer than `seconds`."""
         try:
             async with asyncio.timeout(seconds):
                 await self._prepared.wait()
         except TimeoutError:
-            # An outcome, not an error: the caller refuses its session with a line of its own.
+            # An expected outcome: the code that waits refuses its session and logs that itself.
             return False
         return True
 
     def close(self) -> None:
-        """Stop following and close every connection."""
+        """Stop all background work and close every connection."""
         self._background.close()
         self._tenancy.close()
         self.homes.close()
@@ -210,13 +213,13 @@
     # --- Databases ----------------------------------------------------------------------------
 
     def database(self, name: str) -> DatabaseRoute | None:
-        """A database as callers name it."""
+        """The route of a database by the name that callers use; None if it does not exist."""
         return None if self.configuration is None else self.configuration.databases.get(name)
 
     def tenant_of(self, database: str, key_digest: bytes) -> str:
-        """The tenant that a request belongs to, empty where no key is needed.
+        """The tenant that a request belongs to; NO_TENANT for a database that needs no key.
 
-        Raises RequestError where the key is held by nobody, or cannot be judged.
+        Raises RequestError if no tenant has the key, or the configuration is too old to tell.
         """
         if self.configuration is None:
             return NO_TENANT
@@ -228,42 +231,42 @@
         return None if database is None else database.target_latency
 
     def group(self, name: str) -> GroupService | None:
-        """A group by name."""
+        """A group by name; None if it does not exist."""
         return self.groups.get(name)
 
     def forwarded(self, outcome: str) -> None:
-        """A command that was sent to a home has ended."""
+        """Count a command that was forwarded to a home proxy and has ended."""
         self.metrics.forwarded(outcome)
 
-    def sample_success(self) -> bool:
-        """One success in some hundred is logged; failures are all logged."""
-        self._successes += 1
-        return self._successes % _LOGGED_SUCCESSES == 0
+    def should_log_success(self) -> bool:
+        """Count a successful command. Returns whether it is to be logged."""
+        self._success_count += 1
+        return self._success_count % _SUCCESS_LOG_INTERVAL == 0
 
     def finished(
         self, database: DatabaseRoute, command: Command, error: ErrorKind | None, seconds: float
     ) -> None:
-        """A command ended."""
+        """Record the metrics of a command that has ended."""
         self.metrics.finished(database.consistency.value, command.kind, error, seconds)
 
     @property
     def directory(self) -> Mapping[str, DirectoryEntry]:
-        """The instances that are known, by name."""
+        """The directory entries of all known instances, by name."""
         return self._directory.entries
 
     @property
     def members(self) -> Iterable[ProxyMember]:
-        """All proxies that are listed, and this one."""
+        """All listed proxies, and this one."""
         return self.homes.listed_members
 
     def watch(self, view: str) -> CollectionWatch[Any] | None:
-        """The watch of a followed view, None where this proxy does not follow it."""
+        """The watch of a view; None if this proxy does not follow that view."""
         return self.views.watches.get(view)
 
-    # --- configuration ------------------------------------------------------------------------
+    # --- Configuration ------------------------------------------------------------------------
 
     def adopt(self, configuration: PromotedConfiguration) -> bool:
-        """Put a configuration in force, unless it or a later one is; whether it was."""
+        """Put a configuration in force. Returns False if this version or a later one already is."""
         current = self.configuration
         if current is not None and configuration.version <= current.version:
             return False
@@ -291,7 +294,7 @@
             or had_tenants != bool(configuration.tenants)
         ):
             self.homes.limits_changed()
-        self._note_prepared()
+        self._update_prepared()
         return True
 
     def _add_group(self, name: str) -> None:
@@ -304,7 +307,7 @@
             metrics=self.metrics,
             leases=self.leases,
             entry_outlives=self._bounds.entry_outlives,
-            on_used=self._coordinate,
+            on_used=self._start_coordination,
         )
         group = GroupService(settings, environment, wake.set)
         self.groups[name] = group
@@ -321,17 +324,17 @@
         self._background.spawn(GroupSupervision(group, wake, services).run)
 
     def _connection_limit(self, group: str) -> int:
-        """How many connections an instance of a group takes, over all proxies."""
+        """How many connections an instance of a group accepts from all proxies together."""
         settings = None if self.configuration is None else self.configuration.groups.get(group)
         return 0 if settings is None else settings.maximum_connections
 
     def _starved(self, group: str) -> bool:
-        """Whether this proxy gets no connection to an instance of a group."""
+        """Whether this proxy fails to get a connection to an instance of a group."""
         service = self.groups.get(group)
         return service is not None and service.connections.starved
 
     def _homes_changed(self) -> None:
-        """Members or limits changed: take on or give up the groups' connections."""
+        """Apply changed members or limits: become a home proxy of groups or cease to be one."""
         if not self.homes.known:
             return
         for name, group in self.groups.items():
@@ -342,10 +345,11 @@
             )
             group.set_home(home, shares, max(len(placed.homes), 1))
             if home:
-                self._coordinate()
-        self._note_prepared()
+                self._start_coordination()
+        self._update_prepared()
 
-    def _note_prepared(self) -> None:
+    def _update_prepared(self) -> None:
+        """Mark this proxy as able to serve requests once everything that it needs was read."""
         if self.configuration is None or not self.homes.known:
             return
         if self._coordinating and not self._directory.read:
@@ -357,7 +361,7 @@
         self._prepared.set()
 
     def status(self) -> OperatorStatus:
-        """What this proxy believes, for operators."""
+        """The state of this proxy as it knows it, for operators."""
         now = asyncio.get_running_loop().time()
         return OperatorStatus(
             node=self.name,
--- a/src/orchidwind/promoted/quotas/__init__.py
+++ b/src/orchidwind/promoted/quotas/__init__.py
@@ -1,1 +1,1 @@
-"""Drivers: the tenants' quotas, and which proxies hold shares of them."""
+"""Drivers for tenants' quotas: admission of operations, and the shares that proxies hold."""
--- a/src/orchidwind/promoted/quotas/quota_service.py
+++ b/src/orchidwind/promoted/quotas/quota_service.py
@@ -1,8 +1,9 @@
-"""Lets the operations of tenants pass at one proxy, and lends what is left to the others.
+"""Admits the operations of tenants at one proxy by their quotas, and lends tokens to other proxies.
 
-For: `callers.command_runner`, which has each operation pass before an instance sees it;
-`peers.served_link`, which has it lend. Owns whom to ask for tokens, and when again. Relies on
-`shared.core.quota` for the buckets and on `share_keeper` for this proxy's share.
+For: `callers.command_runner`, which has each operation admitted before it is sent to an instance,
+and `peers.served_link`, which serves the requests of other proxies for tokens. Owns the order in
+which other proxies are asked for tokens, and the pause after which they are asked again. Relies on
+`shared.core.quota` for the token buckets and on `share_keeper` for this proxy's share.
 """
 
 from __future__ import annotations
@@ -20,45 +21,49 @@
 from orchidwind.shared.logs import is_power_of_two, log_event
 from orchidwind.shared.task_set import TaskSet
 
-# An operation waits for borrowed tokens for so many seconds at most. A way to another zone and back
-# takes some milliseconds, on a slow machine some dozens.
+# How long an operation waits for borrowed tokens at most, seconds. A round trip to another zone
+# takes a few milliseconds, and a few dozen on a slow machine.
 _BORROW_SECONDS = 0.1
-# Where others had nothing to lend, they are asked again after so many seconds: a tenant that asks
-# for more than its quota would else have every proxy ask all others for each operation.
-_ASK_AGAIN_SECONDS = 0.25
-# So little of a token is not asked for.
-_HARDLY_ANY = 1e-6
+# Pause before other proxies are asked again after they had too few tokens to lend, seconds. Without
+# it, a tenant beyond its quota would make every proxy ask all others for each operation.
+_BORROW_RETRY_SECONDS = 0.25
+# Smaller amounts than this part of a token are not borrowed.
+_NEGLIGIBLE_TOKENS = 1e-6
 
 
 class Quotas(Protocol):
-    """What the runners of commands ask."""
+    """Admission by tenants' quotas, as the runners of commands use it."""
 
-    async def pass_operation(self, name: str) -> None:
-        """Let one operation of a tenant pass; raises RequestError where its quota is used up."""
+    async def admit_operation(self, name: str) -> None:
+        """Admit one operation of a tenant; raises RequestError if its quota is used up."""
 
-    def give_back(self, name: str) -> None:
-        """An operation that passed has not run."""
+    def refund(self, name: str) -> None:
+        """Return the token of an operation that was admitted and did not run."""
 
 
 class NoQuotas:
-    """Where there are no tenants: everything passes."""
+    """Admits every operation: for a proxy without tenants."""
 
-    async def pass_operation(self, name: str) -> None:
-        """Let an operation pass."""
+    async def admit_operation(self, name: str) -> None:
+        """Admit the operation."""
 
-    def give_back(self, name: str) -> None:
-        """Nothing was taken."""
+    def refund(self, name: str) -> None:
+        """Do nothing: no token was taken."""
 
 
 class TenantUse(Struct):
-    """What became of one tenant's operations at this proxy since it started."""
+    """How many operations of one tenant this proxy admitted and refused since it started."""
 
     passed: int = 0
     refused: int = 0
 
 
 class _Borrowing(Struct):
-    """Tokens that are asked for, for one tenant; `waiting` operations need one."""
+    """The state of borrowing tokens for one tenant.
+
+    `waiting` operations need a token each. `task` asks other proxies for tokens; it is None while
+    no request is under way. Other proxies are not asked again before the time `not_before`.
+    """
 
     waiting: int = 0
     task: asyncio.Task[None] | None = None
@@ -66,7 +71,7 @@
 
 
 class QuotaService:
-    """The quotas at one proxy. Times are in seconds of the loop's clock."""
+    """The quotas at one proxy. Times are seconds of the event loop's clock."""
 
     def __init__(
         self,
@@ -74,12 +79,12 @@
         tenants: Callable[[], Mapping[str, Tenant]],
         lenders: Callable[[], Iterable[PeerLink]],
     ) -> None:
-        """`tenants` are those in force, by name; `lenders` are asked in their order."""
+        """`tenants` gives the tenants in force by name, `lenders` the proxies to ask, in order."""
         self.use: dict[str, TenantUse] = {}
         self._limiter = QuotaLimiter(rules)
         self._tenants = tenants
         self._lenders = lenders
-        # When the share was last known to be in force.
+        # Returns when the share was last known to be in force.
         self._share_confirmed_at = lambda: float("-inf")
         self._borrowing: dict[str, _Borrowing] = {}
         self._tasks = TaskSet()
@@ -90,16 +95,16 @@
         """This proxy's share of each quota, 0 to 1."""
         return self._limiter.share
 
-    def confirmed_by(self, confirmed_at: Callable[[], float]) -> None:
-        """From now on this tells when the share was last known to be in force."""
+    def set_confirmation_time(self, confirmed_at: Callable[[], float]) -> None:
+        """Set the function that returns when the share was last known to be in force."""
         self._share_confirmed_at = confirmed_at
 
-    def set_share(self, share: float) -> None:
-        """This proxy's share, as it was just heard of."""
-        self._limiter.set_share(share, self._loop.time(), self._share_confirmed_at())
+    def share_is(self, share: float) -> None:
+        """Set this proxy's share, which was read just now."""
+        self._keeper.share_is(share, self._loop.time(), self._share_confirmed_at())
 
-    async def pass_operation(self, name: str) -> None:
-        """Let one operation of a tenant pass; raises RequestError where its quota is used up."""
+    async def admit_operation(self, name: str) -> None:
+        """Admit one operation of a tenant; raises RequestError if its quota is used up."""
         tenant = self._tenants().get(name)
         if tenant is None:
             raise RequestError(ErrorKind.CONFIGURATION_TOO_OLD, f"tenant {name} is not known here")
@@ -129,55 +134,55 @@
     def _take(self, tenant: Tenant) -> bool:
         return self._limiter.take(tenant, self._loop.time(), self._share_confirmed_at())
 
-    def give_back(self, name: str) -> None:
-        """An operation that passed has not run."""
+    def refund(self, name: str) -> None:
+        """Return the token of an operation that was admitted and did not run."""
         tenant = self._tenants().get(name)
         if tenant is not None:
             self._limiter.give_back(tenant)
 
-    # --- tokens of other proxies --------------------------------------------------------------
+    # --- Tokens of other proxies --------------------------------------------------------------
 
     def lend(self, name: str, wanted: float) -> float:
-        """Tokens of a tenant for another proxy, which this one has no longer."""
+        """Take up to `wanted` tokens of a tenant out of this proxy's bucket. Returns how many."""
         tenant = self._tenants().get(name)
         if tenant is None:
             return 0.0
         return self._limiter.lend(tenant, wanted, self._loop.time(), self._share_confirmed_at())
 
     async def _borrow(self, tenant: Tenant) -> bool:
-        """Wait for tokens of other proxies; whether it is worth while to look for one."""
+        """Ask other proxies for tokens. Returns False if none can be expected now."""
         borrowing = self._borrowing.setdefault(tenant.name, _Borrowing())
         if borrowing.task is None:
             if self._loop.time() < borrowing.not_before:
                 return False
-            borrowing.task = self._tasks.start(self._ask(tenant, borrowing))
+            borrowing.task = self._tasks.start(self._request_tokens(tenant, borrowing))
         borrowing.waiting += 1
         try:
             async with asyncio.timeout(_BORROW_SECONDS):
                 await asyncio.shield(borrowing.task)
         except TimeoutError:
-            # No line: the operation is refused, which is counted.
+            # Not logged: the operation is refused, and refusals are counted.
             return False
         finally:
             borrowing.waiting -= 1
         return True
 
-    async def _ask(self, tenant: Tenant, borrowing: _Borrowing) -> None:
-        """Ask one proxy after the other, until those that wait have a token each."""
-        await asyncio.sleep(0)  # those that arrived together are counted first
+    async def _request_tokens(self, tenant: Tenant, borrowing: _Borrowing) -> None:
+        """Ask one proxy after the other until there is a token for each waiting operation."""
+        await asyncio.sleep(0)  # so that operations that arrived together are all counted
         try:
             for link in self._lenders():
-                missing = self._limiter.missing(tenant, borrowing.waiting, self._loop.time())
-                if missing <= _HARDLY_ANY:
+                missing = self._keeper.missing(tenant, borrowing.waiting, self._loop.time())
+                if missing <= _NEGLIGIBLE_TOKENS:
                     break
-                lent = await self._ask_one(link, tenant.name, missing)
-                self._limiter.borrow(tenant, lent, self._loop.time())
+                lent = await self._request_from(link, tenant.name, missing)
+                self._keeper.borrow(tenant, lent, self._loop.time())
         finally:
             borrowing.task = None
-        if self._limiter.missing(tenant, 1, self._loop.time()) > _HARDLY_ANY:
-            borrowing.not_before = self._loop.time() + _ASK_AGAIN_SECONDS
+        if self._keeper.missing(tenant, 1, self._loop.time()) > _NEGLIGIBLE_TOKENS:
+            borrowing.not_before = self._loop.time() + _BORROW_RETRY_SECONDS
 
-    async def _ask_one(self, link: PeerLink, tenant: str, wanted: float) -> float:
+    async def _request_from(self, link: PeerLink, tenant: str, wanted: float) -> float:
         try:
             async with asyncio.timeout(_BORROW_SECONDS):
                 return await link.ask_tokens(tenant, wanted)
@@ -187,5 +192,5 @@
             return 0.0
 
     def close(self) -> None:
-        """Ask no more."""
+        """Cancel the requests for tokens that are under way."""
         self._tasks.cancel()
--- a/src/orchidwind/promoted/quotas/share_keeper.py
+++ b/src/orchidwind/promoted/quotas/share_keeper.py
@@ -1,8 +1,8 @@
-"""Follows which proxies hold shares of the tenants' quotas, and has the homes hold them.
+"""Follows which proxies hold shares of the tenants' quotas, and makes the home proxies the holders.
 
-For: `proxy_runtime`, as the follower of a view. Owns what this proxy knows of the object that names
-the holders. Relies on `core.quota_shares` for what is written next, on a store that writes by
-compare-and-put, and on `QuotaService`, which fills buckets by the share.
+For: `tenancy`, which has it follow a view. Owns this proxy's copy of the object in the store that
+names the holders. Relies on `core.quota_shares` for what to write next, on a store that writes by
+compare-and-swap, and on `QuotaService`, which fills the token buckets by the share.
 """
 
 from __future__ import annotations
@@ -17,19 +17,19 @@
 from orchidwind.shared.core.errors import PlatformError
 from orchidwind.shared.logs import log_event
 
-# Seconds between two looks at whether the holders are to change. Shares that are a little late
-# cost nobody anything: others lend.
+# Interval at which it is checked whether the holders must change, seconds. A share that comes a
+# little late refuses no operation: other proxies lend their tokens.
 _CHECK_SECONDS = 0.1
-# The homes have been the same for so many seconds before they follow other holders: as proxies
-# start, each sees the others come one after the other. The first holders are named at once.
+# How long the set of home proxies must stay the same before it replaces other holders, seconds.
+# While proxies start, each sees the others appear one by one. The first holders are named at once.
 _UNCHANGED_SECONDS = 1.5
-# The first of the wanted holders writes; each further one writes so many seconds later, where those
-# before it have not.
+# The first of the wanted holders by name writes the change. Each further one writes this many
+# seconds after the one before it, if those before it have not written.
 _TURN_SECONDS = 2.0
 
 
 class ShareKeeper:
-    """Times are in seconds of the loop's clock."""
+    """Keeps the holders of quota shares up to date. Times are seconds of the event loop's clock."""
 
     def __init__(
         self,
@@ -39,10 +39,11 @@
         wanted: Callable[[], Collection[str]],
         on_known: Callable[[], None],
     ) -> None:
-        """`wanted` gives the proxies that are to hold shares; none while that is not known.
+        """`wanted` returns the proxies that are to hold shares; empty while they are not known.
 
-        `on_known` is called each time that the object was read.
+        `on_known` is called whenever the object was read from the store.
         """
+        # Whether the object was read since the start.
         self.known = False
         self._listed = asyncio.Event()
         self._on_known = on_known
@@ -57,23 +58,24 @@
         self._wanted_since = self._loop.time()
 
     def listed(self, listing: Listing[QuotaShares]) -> bool:
-        """The object as it is, read freshly; whether it differs from what was held."""
+        """Apply a fresh read of the object. Returns whether it differs from the held copy."""
         self.known = True
         self._listed.set()
         before = self.held
         for shares in listing.items:
-            self._take(shares)
+            self._apply(shares)
         if not listing.items:
-            self._take(QuotaShares(revision=StoreRevision.of(listing.revision.era, 0)))
+            self._apply(QuotaShares(revision=StoreRevision.of(listing.revision.era, 0)))
         self._on_known()
         return self.held != before
 
     def changed(self, changes: Changes[QuotaShares]) -> None:
-        """A later one."""
+        """Apply changes of the object."""
         for shares in changes.changed:
-            self._take(shares)
+            self._apply(shares)
 
-    def _take(self, shares: QuotaShares) -> None:
+    def _apply(self, shares: QuotaShares) -> None:
+        """Hold this version of the object, unless it is older than the held one."""
         if shares.revision < self.held.revision:
             return
         if shares == self.held:
@@ -92,30 +94,32 @@
             )
 
     async def run(self) -> None:
-        """Write what is to be changed, when it is this proxy's turn."""
+        """Write changes of the holders whenever it is this proxy's turn; runs until cancelled."""
         await self._listed.wait()
         while True:
-            following = self._due()
+            following = self._next_write()
             if following is not None:
                 await self._write(following)
             await asyncio.sleep(_CHECK_SECONDS)
 
-    def _due(self) -> QuotaShares | None:
-        """What this proxy is to write now, None where it is to write nothing."""
+    def _next_write(self) -> QuotaShares | None:
+        """The object that this proxy is to write now; None if it is to write nothing."""
         wanted = tuple(sorted(self._wanted()))
         now = self._loop.time()
         if wanted != self._last_wanted:
             self._last_wanted, self._wanted_since = wanted, now
         if self._name not in wanted:
             return None
-        later = wanted.index(self._name) * _TURN_SECONDS
-        unchanged = _UNCHANGED_SECONDS if self.held.holders else 0.0
-        if now - self._wanted_since < unchanged + later:
+        turn_delay = wanted.index(self._name) * _TURN_SECONDS
+        settle_time = _UNCHANGED_SECONDS if self.held.holders else 0.0
+        if now - self._wanted_since < settle_time + turn_delay:
             return None
-        return next_shares(self.held, wanted, now - self._held_since - later)
+        return next_shares(self.held, wanted, now - self._held_since - turn_delay)
 
     async def _write(self, shares: QuotaShares) -> None:
         try:
-            self._take(await self._store.write(shares, create=not shares.exists))
-        except PlatformError as error:  # a conflict, too: the watch brings what is there now
+            self._apply(await self._store.write(shares, create=not shares.exists))
+        except (
+            PlatformError
+        ) as error:  # also a conflict: the watch then delivers the present object
             log_event("quota_shares_not_written", reason=str(error))
--- a/src/orchidwind/promoted/quotas/tenancy.py
+++ b/src/orchidwind/promoted/quotas/tenancy.py
@@ -1,8 +1,9 @@
-"""The tenants at one proxy: whose each request is, and how much they may ask.
+"""The tenants at one proxy: which tenant a request belongs to, and the tenants' quotas.
 
-For: `proxy_runtime`, which tells it the configuration in force and the homes. Owns the tenants of
-that configuration, and the parts that keep their quotas. Relies on `shared.core.tenants` for keys,
-on `QuotaService` for what passes and on `ShareKeeper` for this proxy's share.
+For: `proxy_runtime`, which passes in the configuration in force and the home proxies. Owns the
+tenants of that configuration and the parts that enforce their quotas. Relies on
+`shared.core.tenants` to check keys, on `QuotaService` to admit operations, and on `ShareKeeper` for
+this proxy's share.
 """
 
 from __future__ import annotations
@@ -23,7 +24,7 @@
 
 
 class Tenancy:
-    """`homes` gives the proxies that hold connections of any group, this one perhaps among them."""
+    """Identifies tenants by their keys, and enforces their quotas at this proxy."""
 
     def __init__(
         self,
@@ -33,7 +34,10 @@
         homes: Callable[[], Iterable[ProxyMember]],
         on_known: Callable[[], None],
     ) -> None:
-        """`on_known` is called each time that it was read who holds shares of the quotas."""
+        """`homes` returns the home proxies of all groups, which may include this one.
+
+        `on_known` is called whenever the holders of quota shares were read from the store.
+        """
         self.table = TenantTable(())
         self._key_checker = KeyChecker.within(bounds.revocation)
         self._network = network
@@ -45,49 +49,49 @@
         )
 
     def adopt(self, configuration: PromotedConfiguration) -> None:
-        """A configuration is in force."""
+        """Use the tenants of a configuration that is now in force."""
         self.table = TenantTable(configuration.tenants or ())
         self._network.tenants_changed()
 
     def tenant_of(
         self, configuration: PromotedConfiguration, database: str, key_digest: bytes, age: float
     ) -> str:
-        """The tenant that a request belongs to, empty where no key is needed.
+        """The tenant that a request belongs to; NO_TENANT for a database that needs no key.
 
-        `age` is the configuration's. Raises RequestError where the key is held by nobody, or cannot
-        be judged.
+        `age` is the age of the configuration. Raises RequestError if no tenant has the key, or the
+        configuration is too old to tell.
         """
         if not configuration.needs_key(database):
             return NO_TENANT
         return self._key_checker.tenant_of(self.table, key_digest, age).name
 
-    # --- shares of the quotas -----------------------------------------------------------------
+    # --- Shares of the quotas -----------------------------------------------------------------
 
     def follow(self, views: ProxyViews, spawn: Spawn) -> None:
-        """Follow who holds shares of the quotas, from the first call on."""
+        """Start to follow the holders of quota shares; further calls do nothing."""
         if self._following:
             return
         self._following = True
         watch = views.follow_quota_shares(self._shares, self._homes)
-        self.quotas.confirmed_by(lambda: watch.confirmed_at)
+        self.quotas.set_confirmation_time(lambda: watch.confirmed_at)
         spawn(self._shares.run)
 
     @property
     def ready(self) -> bool:
-        """Whether it was read who holds shares, if that is followed."""
+        """Whether the holders of quota shares were read, or are not followed."""
         return self._shares.known or not self._following
 
     @property
     def shares(self) -> QuotaShares:
-        """Who holds shares of the quotas, as far as this proxy knows."""
+        """The holders of quota shares, as last read by this proxy."""
         return self._shares.held
 
     def _wanted_holders(self) -> list[str]:
-        """The homes of all groups, none while the proxies are not known."""
+        """The home proxies of all groups; empty while the proxies are not known."""
         return [home.name for home in self._homes()] if self._network.known else []
 
     def _lenders(self) -> list[PeerLink]:
-        """Links to the other homes, those of this zone first."""
+        """The usable links to the other home proxies, those of this zone first."""
         own = self._network.own
         homes = sorted(self._homes(), key=lambda home: home.zone != own.zone)
         others = (home for home in homes if home.name != own.name)
@@ -95,5 +99,5 @@
         return [link for link in links if link is not None]
 
     def close(self) -> None:
-        """Ask nobody any more."""
+        """Stop asking other proxies for tokens."""
         self.quotas.close()
--- a/src/orchidwind/promoted/store_era.py
+++ b/src/orchidwind/promoted/store_era.py
@@ -1,9 +1,9 @@
-"""The era of the platform's store as this process knows it.
+"""The store era, which counts restores of the store from an older copy, as this process knows it.
 
-For: the adapter of the store, which names the era of each answer; links to other proxies, whose
-reports name theirs; and all that must act when the store has come back from an older copy. Owns the
-newest era, since when it is known, and the log line of a return. Relies on the running loop's
-clock.
+For: the adapter of the store, which reports the era of each answer; links to other proxies, whose
+reports carry the era that they know; and the parts that must act after the store was restored from
+an older copy. Owns the newest known era, the time since which it is known, and the log line of a
+restore. Relies on the running event loop's clock.
 """
 
 from __future__ import annotations
@@ -17,26 +17,26 @@
 
 
 class StoreEra:
-    """The newest era that anybody named. `returns`: how many returns were seen since the start."""
+    """The newest era seen in any answer. `returns` counts the restores seen since the start."""
 
     def __init__(self, clock: Callable[[], float] | None = None) -> None:
-        """`clock` is the steady clock in seconds; that of the running loop where none is given."""
+        """`clock` is a monotonic clock in seconds; the default is the running event loop's."""
         self._clock = clock or _loop_clock
         self.current = FIRST_ERA
         self.returns = 0
-        # Since when it is known, seconds of the steady clock.
+        # When this process first saw the current era; monotonic clock, seconds.
         self.since = float("-inf")
         self._known = False
         self._on_return: list[Callable[[], None]] = []
 
     def on_return(self, act: Callable[[], None]) -> None:
-        """Have something done whenever the store is found to have come back."""
+        """Call `act` whenever a restore of the store is noticed."""
         self._on_return.append(act)
 
     def saw(self, era: int, source: str) -> bool:
-        """Somebody named an era; False where it is an earlier one than is known.
+        """Record the era of an answer. Returns False if it is earlier than the known era.
 
-        What was said in an earlier era changes nothing and confirms nothing any more.
+        Data of an earlier era must be ignored: it changes and confirms nothing any more.
         """
         if era < self.current:
             return False
@@ -55,7 +55,7 @@
             era=era,
             before=before,
             source=source,
-            decision="read all views anew, list and register this proxy again",
+            decision="read all views again, list and register this proxy again",
         )
         for act in self._on_return:
             act()
--- a/src/orchidwind/promoted/upkeep.py
+++ b/src/orchidwind/promoted/upkeep.py
@@ -1,7 +1,7 @@
-"""What a proxy repeats while it runs: it frees connections, forgets instances, logs figures.
+"""Periodic maintenance of a proxy: closing idle connections, forgetting instances, logging metrics.
 
-For: `proxy_runtime`, which runs each in the background. Owns how often; what is freed or forgotten,
-the groups decide.
+For: `proxy_runtime`, which runs each method as a background task. Owns the intervals. The groups
+decide which connections to close and which instances to forget.
 """
 
 from __future__ import annotations
@@ -14,19 +14,19 @@
 from orchidwind.promoted.metrics import ProxyMetrics
 from orchidwind.shared.logs import log_event
 
-# How often connections that were not used lately are closed, seconds. Proxies that are back
-# from a loss of power find room at the instances within the time that their callers wait.
+# Interval at which connections that were not used lately are closed, seconds. Proxies that restart
+# after a power failure then find free connections at the instances while their callers still wait.
 _TRIM_SECONDS = 1.5
-# How often it is checked which instances left long ago, seconds. Nothing waits for it but
-# memory, and each check that is due asks the instances for their status.
+# Interval at which instances that left long ago are looked for, seconds. A later check only costs
+# memory, and each check that finds one asks the instances of its group for their status.
 _FORGET_SECONDS = 5.0
-# How often figures are logged, seconds. Six lines each time, and two changes of primary
-# are seldom so near to one another.
-_FIGURES_SECONDS = 10.0
+# Interval at which metrics are logged, seconds. Each time takes six lines, and two changes of
+# primary are rarely closer together than this.
+_LOG_METRICS_SECONDS = 10.0
 
 
 class Upkeep:
-    """The repeated work of one proxy; each method runs until it is cancelled."""
+    """Periodic maintenance of one proxy; each method runs until it is cancelled."""
 
     def __init__(
         self,
@@ -34,29 +34,29 @@
         metrics: ProxyMetrics,
         views: Callable[[], Mapping[str, Any]],
     ) -> None:
-        """`views` tells of each followed view who showed last that it is current."""
+        """`views` returns for each followed view its state and what last confirmed it."""
         self._groups = groups
         self._metrics = metrics
         self._views = views
 
     async def trim_connections(self) -> None:
-        """Close connections that were not used lately."""
+        """Close connections that were not used lately, in all groups."""
         while True:
             await asyncio.sleep(_TRIM_SECONDS)
             for group in self._groups.values():
                 group.trim()
 
     async def forget_old_instances(self) -> None:
-        """Forget instances that left long ago, once others have their logs."""
+        """Forget instances that left long ago, once other instances have their logs."""
         while True:
             await asyncio.sleep(_FORGET_SECONDS)
             for group in self._groups.values():
                 await group.forget_departed()
 
-    async def log_figures(self) -> None:
-        """Log what was counted so far."""
+    async def log_metrics(self) -> None:
+        """Log the counters as they stand."""
         while True:
-            await asyncio.sleep(_FIGURES_SECONDS)
+            await asyncio.sleep(_LOG_METRICS_SECONDS)
             log_event("figures", **self._metrics.message_counts())
             log_event("attempts", **self._metrics.attempt_counts())
             log_event("store_calls", **self._metrics.store_call_counts())
