--- a/src/orchidwind/promoted/callers/session_registry.py
+++ b/src/orchidwind/promoted/callers/session_registry.py
@@ -22,7 +22,7 @@
     """One session, as far as the drain needs it."""
 
     @property
-    def resting(self) -> bool:
+    def idle(self) -> bool:
         """Whether no caller waits for an answer on it."""
 
     @property
@@ -48,10 +48,10 @@
         plan = DrainPlan(grace_seconds, len(self.sessions))
         closed = 0
         log_event("drain_started", sessions=plan.sessions, grace_seconds=grace_seconds)
-        while not plan.over(elapsed := loop.time() - began_at):
-            allowed = plan.may_close(elapsed, closed, len(self.sessions))
+        while not plan.is_over(elapsed := loop.time() - began_at):
+            allowed = plan.closable_sessions(elapsed, closed, len(self.sessions))
             closed += self._close_idle(allowed, plan.ends_transactions(elapsed))
-            if not plan.accepts(elapsed) and not self.sessions:
+            if not plan.accepts_sessions(elapsed) and not self.sessions:
                 break
             await asyncio.sleep(_DRAIN_STEP_SECONDS)
         log_event("drain_ended", sessions_left=len(self.sessions), closed=closed)
--- a/src/orchidwind/promoted/instance_directory.py
+++ b/src/orchidwind/promoted/instance_directory.py
@@ -3,7 +3,7 @@
 For: `proxy_runtime`, which has it follow the watch of the directory. Owns the entries and the
 newest incarnation of each instance, and passes each change on to the instance's group. In the store
 an entry is kept under the identity of the instance, here under the name of its incarnation
-(`instance_lives`).
+(`instance_incarnations`).
 """
 
 from __future__ import annotations
--- a/src/orchidwind/promoted/metrics.py
+++ b/src/orchidwind/promoted/metrics.py
@@ -225,7 +225,7 @@
 
     def silent(self, found: SilentConnection) -> None:
         """Log and count an open connection that was found silent."""
-        log_silent(found)
+        log_silent_connection(found)
         self._instances.silent.labels(found.kind.value).inc()
 
     def silent_counts(self) -> dict[str, int]:
--- a/src/orchidwind/promoted/proxy_runtime.py
+++ b/src/orchidwind/promoted/proxy_runtime.py
@@ -152,7 +152,7 @@
         if is_new:
             # A proxy that was never listed may be one of many that start at the same moment. The
             # pause lets all of them list themselves, so that one read shows them.
-            await asyncio.sleep(GATHER_MEMBERS_SECONDS)
+            await asyncio.sleep(BATCH_MEMBERS_SECONDS)
         self.views.follow_members()
 
     def _start_coordination(self) -> None:
--- a/src/orchidwind/promoted/quotas/quota_service.py
+++ b/src/orchidwind/promoted/quotas/quota_service.py
@@ -99,9 +99,9 @@
         """Set the function that returns when the share was last known to be in force."""
         self._share_confirmed_at = confirmed_at
 
-    def share_is(self, share: float) -> None:
+    def set_share(self, share: float) -> None:
         """Set this proxy's share, which was read just now."""
-        self._keeper.share_is(share, self._loop.time(), self._share_confirmed_at())
+        self._limiter.set_share(share, self._loop.time(), self._share_confirmed_at())
 
     async def admit_operation(self, name: str) -> None:
         """Admit one operation of a tenant; raises RequestError if its quota is used up."""
@@ -172,14 +172,14 @@
         await asyncio.sleep(0)  # so that operations that arrived together are all counted
         try:
             for link in self._lenders():
-                missing = self._keeper.missing(tenant, borrowing.waiting, self._loop.time())
+                missing = self._limiter.missing(tenant, borrowing.waiting, self._loop.time())
                 if missing <= _NEGLIGIBLE_TOKENS:
                     break
                 lent = await self._request_from(link, tenant.name, missing)
-                self._keeper.borrow(tenant, lent, self._loop.time())
+                self._limiter.borrow(tenant, lent, self._loop.time())
         finally:
             borrowing.task = None
-        if self._keeper.missing(tenant, 1, self._loop.time()) > _NEGLIGIBLE_TOKENS:
+        if self._limiter.missing(tenant, 1, self._loop.time()) > _NEGLIGIBLE_TOKENS:
             borrowing.not_before = self._loop.time() + _BORROW_RETRY_SECONDS
 
     async def _request_from(self, link: PeerLink, tenant: str, wanted: float) -> float:
