--- a/src/orchidwind/promoted/group/lease_keeper.py
+++ b/src/orchidwind/promoted/group/lease_keeper.py
@@ -81,7 +81,7 @@
         self._lock = lock
         self._store_era = store_era
         self._readings = LockReadings(lock_store, readers, store_era, lock.create_free)
-        store_era.on_return(self._store_came_back)
+        store_era.on_restored(self._store_came_back)
         self._released = asyncio.Event()
         self.lease = LeadershipLease()
         self.holder = ""
--- a/src/orchidwind/promoted/proxy_runtime.py
+++ b/src/orchidwind/promoted/proxy_runtime.py
@@ -94,7 +94,7 @@
             self._lock,
             self.homes.lock_readers,
         )
-        self.store_era.on_return(self.homes.member_registration.on_store_restored)
+        self.store_era.on_restored(self.homes.member_registration.on_store_restored)
         self._tenancy = Tenancy(
             self._bounds,
             ports.quota_share_store,
--- a/src/orchidwind/promoted/store_era.py
+++ b/src/orchidwind/promoted/store_era.py
@@ -27,11 +27,11 @@
         # When this process first saw the current era; monotonic clock, seconds.
         self.since = float("-inf")
         self._known = False
-        self._on_return: list[Callable[[], None]] = []
+        self._on_restored: list[Callable[[], None]] = []
 
-    def on_return(self, act: Callable[[], None]) -> None:
+    def on_restored(self, act: Callable[[], None]) -> None:
         """Call `act` whenever a restore of the store is noticed."""
-        self._on_return.append(act)
+        self._on_restored.append(act)
 
     def saw(self, era: int, source: str) -> bool:
         """Record the era of an answer. Returns False if it is earlier than the known era.
@@ -57,7 +57,7 @@
             source=source,
             decision="read all views again, list and register this proxy again",
         )
-        for act in self._on_return:
+        for act in self._on_restored:
             act()
         return True
 
--- a/src/orchidwind/promoted/views/followed_views.py
+++ b/src/orchidwind/promoted/views/followed_views.py
@@ -199,7 +199,7 @@
     def _follow(self, watch: CollectionWatch[Any]) -> None:
         self.watches[watch.name] = watch
         self._metrics.watch_age(watch.name, lambda: watch.age)
-        self._ports.store_era.on_return(watch.on_store_restored)
+        self._ports.store_era.on_restored(watch.on_store_restored)
         self._spawn(watch.run)
 
     def evidence(self) -> dict[str, str]:
--- a/src/orchidwind_bench/promoted/exploration/proxy_lease.py
+++ b/src/orchidwind_bench/promoted/exploration/proxy_lease.py
@@ -52,7 +52,7 @@
         self._topology = calls.topology
         self._lease = LeadershipLease()
         self._acknowledged: dict[str, Position] = {}
-        life.store_era.on_return(self._lease.not_registered)
+        life.store_era.on_restored(self._lease.not_registered)
         self._proven: ProvenLeadership | None = None
         lock.on_seen = self._lock_taken
 
