--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,7 @@
-"""Hypothesis runs the same examples every time, unless HYPOTHESIS_PROFILE=explore."""
+"""Shared fixtures, Hypothesis profiles and the handling of KNOWN-RED.txt.
+
+Hypothesis draws the same examples in every run, unless HYPOTHESIS_PROFILE=explore is set.
+"""
 
 import asyncio
 import os
@@ -34,7 +37,7 @@
 
 
 class RunningSystem:
-    """A small system of real processes, shared by the tests of one run."""
+    """A small deployment of real processes that all tests of one run share."""
 
     user = CALLER
     password = CALLER_PASSWORD
--- a/tests/elected/test_checks_bite.py
+++ b/tests/elected/test_checks_bite.py
@@ -1,6 +1,6 @@
-"""Each checker is seen to fail on a variant of the product's class with its guard removed.
+"""Each checker must fail on a variant of a product class from which one guard was removed.
 
-The variants live here alone. A check that passes on its variant could not fail at all.
+Guards against a checker that passes on every run. The variants are defined only in this file.
 """
 
 from dataclasses import replace
@@ -38,8 +38,8 @@
     return {violation.promise for violation in found}
 
 
-class EagerGroup(HomeGroup):
-    """A home whose commits wait for nobody."""
+class UnconfirmedCommitGroup(HomeGroup):
+    """A home proxy that acknowledges commits without waiting for their confirmation."""
 
     def perform(self, now, running, step):
         if isinstance(step, steps.WaitForConfirmation):
@@ -48,7 +48,10 @@
 
 
 def cut_primary_under_load(group_class):
-    """The primary loses its replicas but not its callers; then a successor is elected."""
+    """Cuts the primary off from its replicas but not from its callers until another is elected.
+
+    Returns the names of the broken promises.
+    """
     system = SimulatedSystem(
         SystemPlan(
             seed=4,
@@ -71,13 +74,13 @@
 
 
 def test_acknowledged_writes_are_lost_without_the_barrier():
-    broken = cut_primary_under_load(EagerGroup)
+    broken = cut_primary_under_load(UnconfirmedCommitGroup)
     assert {"acknowledged-writes-last", "replaced-primary"} <= broken
     assert cut_primary_under_load(HomeGroup) == set()
 
 
 class FloorlessGroup(HomeGroup):
-    """A home that forgets the floor of each read."""
+    """A home proxy that ignores the floor of each read."""
 
     def submit(self, now, request):
         return super().submit(now, replace(request, floor=Floor(FloorMode.KNOWN, ORIGIN)))
@@ -108,11 +111,11 @@
 def test_reads_are_too_early_when_an_estimate_counts_as_covered(monkeypatch):
     chosen = routing.choose_read_route
 
-    def hasty(*arguments, **options):
+    def without_wait(*arguments, **options):
         route = chosen(*arguments, **options)
         return None if route is None else replace(route, must_wait=False)
 
-    monkeypatch.setattr(view_waits, "choose_read_route", hasty)
+    monkeypatch.setattr(view_waits, "choose_read_route", without_wait)
     system = SimulatedSystem(SystemPlan(seed=2, zones=ZONES, timings=GroupTimings(replay_lag=0.03)))
     system.events.run_until(6.0)
     system.settle()
@@ -120,7 +123,7 @@
 
 
 class RepeatingGroup(HomeGroup):
-    """A home that sends a write again when its connection breaks."""
+    """A home proxy that sends a write again when its connection breaks."""
 
     def _flow_for(self, now, request):
         if request.kind is RequestKind.WRITE and not request.request_id:
@@ -165,7 +168,7 @@
 
 
 class ForgetfulHistory(ConfigurationHistory):
-    """Takes whatever it is told."""
+    """Adopts every document, even an older one."""
 
     def _adopt(self, document):
         self.current = document
--- a/tests/elected/test_promises.py
+++ b/tests/elected/test_promises.py
@@ -1,4 +1,4 @@
-"""The promises of the proxy under random faults, on the simulator."""
+"""Checks the promises of the proxy for elected groups under random faults, on the simulator."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -68,7 +68,7 @@
 
 
 def cut_off_primary(system, name):
-    """The primary keeps its callers' zone and loses its replicas."""
+    """Cuts the primary's zone off from all other zones, and so from its replicas."""
     own = system.network.zone_of[name]
     for zone in ZONES:
         if zone != own:
@@ -103,9 +103,12 @@
     assert violations(system) == []
 
 
-def test_named_write_in_doubt_is_not_told_not_run():
-    """Found by a longer search: the next attempt of a write in doubt met the deadline while it
-    waited for a primary, and the caller was told that the write had not run."""
+def test_named_write_of_unknown_outcome_is_not_reported_as_not_run():
+    """Guards against an answer that a write did not run although it may have run.
+
+    The next attempt of a write of unknown outcome reached its deadline while it waited for a
+    primary, and the caller was told that the write had not run.
+    """
     steps = [
         ("kill-replica", 0, 0.7923119088868038),
         ("pause-home", 1, 0.8259716662211443),
@@ -149,7 +152,7 @@
     assert violations(system) == []
 
 
-def test_without_a_primary_writes_are_told_so_and_reads_go_on():
+def test_without_a_primary_writes_are_refused_and_reads_continue():
     never = GroupTimings(election_minimum=500.0, election_maximum=600.0)
     system = SimulatedSystem(
         SystemPlan(seed=11, zones=ZONES, write_share=0.5, roaming=0.0, timings=never)
--- a/tests/promoted/soak/test_soak.py
+++ b/tests/promoted/soak/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak: its own parts, one short run, and seeds that once broke a promise."""
+"""Tests of the soak: its schedules and checks, short runs, and seeds that once broke a promise."""
 
 import asyncio
 
@@ -15,9 +15,9 @@
 from orchidwind_bench.platform.soak.system import SoakSizes, SoakSystem
 from orchidwind_standins.platform.replicated_log import JournalLine, LogEntry
 
-# Seeds whose runs broke a promise before a repair; none has so far.
+# Seeds whose runs broke a promise before a fix; there are none.
 REGRESSION_SEEDS = ()
-# Half of it is calm, so that the bounds on the configuration can be checked.
+# Half of a run has no faults, so that the bounds on the configuration can be checked.
 SHORT_SECONDS = 18.0
 
 
@@ -41,8 +41,8 @@
     return SoakSystem(tmp_path, SoakSizes(proxies=1))
 
 
-def leader_holding(*writes):
-    """The history of a group whose only primary committed these."""
+def primary_with_log(*writes):
+    """Returns the history of a group whose only primary committed these writes."""
     lines = [JournalLine(0.0, term=1, role="primary", note="started as i-0")]
     lines += [JournalLine(0.5, entries=(LogEntry(1, (write,)),)) for write in writes]
     return GroupHistory.of({"i-0": lines})
@@ -57,15 +57,15 @@
         ([1], {("t0", 2)}, [("t0", "1"), ("t0", "2")], "REFUSED"),
     ],
 )
-def test_the_checks_of_the_log_bite(acknowledged, refused, logged, broken):
+def test_the_log_checks_detect_broken_promises(acknowledged, refused, logged, broken):
     record = Record()
     record.acknowledged["t0"] = [(1.0, number) for number in acknowledged]
     record.refused = refused
-    check_group(record, leader_holding(*logged))
+    check_group(record, primary_with_log(*logged))
     assert [item.split(":")[0] for item in record.broken] == ([broken] if broken else [])
 
 
-def test_the_check_of_promotions_bites():
+def test_the_promotion_check_detects_reused_and_lower_tokens():
     promotions = [("g", "i-1", "a", 5), ("g", "i-2", "b", 5), ("g", "i-2", "a", 4)]
     assert len(check_tokens(promotions)) == 2
 
@@ -82,13 +82,15 @@
         (1, False, 103.5, 0, ""),
     ],
 )
-def test_the_check_of_configurations_bites(system, version, served, sent_at, newest_seen, broken):
+def test_the_configuration_check_detects_broken_promises(
+    system, version, served, sent_at, newest_seen, broken
+):
     system._versions = [(50.0, 1), (100.0, 2)]
     answer = ProbeAnswer("proxy-0", version, sent_at, sent_at, served)
     found = broken_promise(system, answer, newest_seen)
     assert (broken in found) if broken else found == ""
-    system.record_disturbance("store", 80.0, 99.8)
-    assert broken_promise(system, answer, 0) == "", "not 4 s after a disturbance"
+    system.disturbed("store", 80.0, 99.8)
+    assert broken_promise(system, answer, 0) == "", "less than 4 s after a disturbance"
 
 
 @pytest.mark.parametrize(("answered_at", "broken"), [(99.9, True), (100.1, False)])
@@ -100,8 +102,12 @@
     assert bool(broken_promise(system, answer, 0)) == broken
 
 
-def test_the_soak_finds_a_proxy_that_waits_for_a_swallowed_watch(tmp_path, monkeypatch):
-    """Incident inc1: with a bound of 20 s in its settings, a proxy waits as long as it did then."""
+def test_the_soak_detects_a_proxy_that_waits_for_a_silent_watch(tmp_path, monkeypatch):
+    """Guards against a soak that misses a proxy with an outdated configuration.
+
+    The store accepts a watch and never answers it; with a bound of 20 s in its settings, the
+    proxy keeps waiting for that watch and does not learn of the new version.
+    """
     plan = [
         PlannedFault(1.0, "silence_store", 2.0, 0),
         PlannedFault(3.5, "change_configuration", 0.0, 0),
--- a/tests/promoted/soak/test_soak_instances.py
+++ b/tests/promoted/soak/test_soak_instances.py
@@ -1,4 +1,4 @@
-"""The soak's instances: how they replicate and fail, and the checks of what they kept."""
+"""Tests of the soak's instances: replication, faults, and the checks of their journals."""
 
 import asyncio
 import time
@@ -49,7 +49,7 @@
 # --- one instance ---------------------------------------------------------------------------------
 
 
-def test_logs_share_what_is_of_the_same_terms():
+def test_logs_share_their_entries_up_to_the_first_different_term():
     one = entries(1, 1, 2, 3) + entries(2, 4)
     other = entries(1, 1, 2) + entries(3, 5, 6)
     assert common_length(runs_of(one), runs_of(other)) == 2
@@ -67,7 +67,7 @@
         assert restarted.fence == 0
         assert restarted.receive(message(1, log)).holds == 2
         restarted.pause(2)
-        assert restarted.receive(message(2, log)).holds == 2, "the promoted one is followed"
+        assert restarted.receive(message(2, log)).holds == 2, "it follows the promoted instance"
         assert (restarted.term, restarted.fence) == (2, 0)
 
     asyncio.run(play())
@@ -77,11 +77,11 @@
     async def play():
         log = entries(1, 1, 2)
         by_entry = instance_of(tmp_path, "i-0")
-        by_lead = instance_of(tmp_path, "i-1", position_term="followed")
-        for instance in (by_entry, by_lead):
+        by_followed_term = instance_of(tmp_path, "i-1", position_term="followed")
+        for instance in (by_entry, by_followed_term):
             instance.receive(message(1, log))
             instance.lead(2)
-        assert (by_entry.position, by_lead.position) == ("1.2", "2.2")
+        assert (by_entry.position, by_followed_term.position) == ("1.2", "2.2")
 
     asyncio.run(play())
 
@@ -118,7 +118,7 @@
     asyncio.run(play())
 
 
-def test_entries_come_in_parts_and_a_gap_is_not_taken(tmp_path):
+def test_entries_arrive_in_parts_and_a_gap_is_refused(tmp_path):
     async def play():
         replica = instance_of(tmp_path)
         log = entries(1, 1, 2, 3, 4)
@@ -130,7 +130,7 @@
     asyncio.run(play())
 
 
-def test_a_commit_is_acknowledged_once_a_replica_has_it_and_not_after_the_lead(tmp_path):
+def test_a_commit_is_acknowledged_once_confirmed_and_not_after_the_demotion(tmp_path):
     async def play():
         primary = instance_of(tmp_path, first_primary=True)
         commit = asyncio.create_task(primary.commit([("t0", "1")]))
@@ -148,7 +148,7 @@
     asyncio.run(play())
 
 
-def test_a_replaced_primary_leads_on_for_a_while_after_it_is_reached(tmp_path):
+def test_a_replaced_primary_steps_down_after_a_delay(tmp_path):
     async def play():
         primary = instance_of(tmp_path, first_primary=True, step_down_seconds=0.05)
         assert primary.receive(message(2, [])).refused
@@ -164,7 +164,7 @@
     ("newest_term", "may_lead_on", "role"),
     [(1, True, "primary"), (2, True, "replica"), (1, False, "replica")],
 )
-def test_a_primary_returns_by_whether_another_was_promoted(
+def test_a_restarted_primary_stays_primary_unless_another_was_promoted(
     tmp_path, newest_term, may_lead_on, role
 ):
     async def play():
@@ -179,7 +179,7 @@
 
 
 async def ask(instance, *texts):
-    """The lines that an instance answers on a new connection."""
+    """Sends queries on a new connection; returns the answer lines, the last READY at the end."""
     stream = await TCPClient().connect(HOST, instance.port)
     lines = []
     try:
@@ -196,8 +196,8 @@
         stream.close()
 
 
-async def held(instance):
-    """How many entries an instance tells that it holds; -1 while it is busy."""
+async def entry_count(instance):
+    """Returns the number of log entries that an instance reports; -1 while it is busy."""
     (row, *_) = await ask(instance, "STATUS")
     if row.startswith("ERROR BUSY"):
         return -1
@@ -210,7 +210,7 @@
             await asyncio.sleep(0.02)
 
 
-def playing(tmp_path, play, times=None, count=3):
+def run_group(tmp_path, play, times=None, count=3):
     async def run():
         group = InstanceGroup(SERVICE, tmp_path, 1, 20, times or InstanceTimes())
         listed = []
@@ -225,26 +225,26 @@
     asyncio.run(run())
 
 
-async def has(instance, count):
-    return await held(instance) == count
+async def holds_entries(instance, count):
+    return await entry_count(instance) == count
 
 
-def test_a_deaf_and_a_cut_replica_receive_nothing_until_they_are_well(tmp_path):
+def test_a_deaf_and_a_cut_replica_receive_nothing_until_the_fault_ends(tmp_path):
     async def play(group, primary, deaf, cut):
         group.set_deaf(deaf, True)
         group.set_cut(primary, cut, True)
         await asyncio.sleep(0.1)
         write = asyncio.create_task(ask(primary, "WRITE t0 1"))
         await asyncio.sleep(0.3)
-        assert not write.done(), "nobody has received it"
-        assert [await held(item) for item in (primary, deaf, cut)] == [1, 0, 0]
+        assert not write.done(), "no replica has received it"
+        assert [await entry_count(item) for item in (primary, deaf, cut)] == [1, 0, 0]
         group.set_cut(primary, cut, False)
         assert (await write)[0] == "COMPLETE signed-a1"
-        assert await held(deaf) == 0
+        assert await entry_count(deaf) == 0
         group.set_deaf(deaf, False)
-        await until(lambda: has(deaf, 1))
+        await until(lambda: holds_entries(deaf, 1))
 
-    playing(tmp_path, play)
+    run_group(tmp_path, play)
 
 
 def test_a_lagging_replica_gets_a_few_entries_at_a_time(tmp_path):
@@ -256,19 +256,19 @@
         seen = set()
 
         async def caught_up():
-            seen.add(await held(lagging))
+            seen.add(await entry_count(lagging))
             return 6 in seen
 
         await until(caught_up)
         lines = read_journal_state(lagging.journal)
         assert len(lines.log) == 6
-        assert seen & {2, 4}, "it was seen half-way"
+        assert seen & {2, 4}, "an intermediate length was seen"
 
     times = InstanceTimes(lag=(0.06, 0.07), part=(2, 2))
-    playing(tmp_path, play, times)
+    run_group(tmp_path, play, times)
 
 
-def test_a_promotion_takes_its_time_and_the_rest_is_rolled_back(tmp_path):
+def test_a_promotion_takes_time_and_other_logs_are_rolled_back(tmp_path):
     async def play(group, primary, ahead, chosen):
         group.set_deaf(chosen, True)
         await ask(primary, "WRITE t0 1")
@@ -279,11 +279,11 @@
         assert 0.2 <= time.monotonic() - called_at < 0.8
         group.set_deaf(chosen, False)
         assert (await ask(primary, "STATUS"))[0].split(" ")[1] == "primary"
-        await until(lambda: has(ahead, 0))
-        await until(lambda: has(primary, 0))
+        await until(lambda: holds_entries(ahead, 0))
+        await until(lambda: holds_entries(primary, 0))
         assert (await ask(primary, "STATUS"))[0].split(" ")[1] == "replica"
 
-    playing(tmp_path, play)
+    run_group(tmp_path, play)
 
 
 async def leads(instance, term):
@@ -291,7 +291,7 @@
     return answer[0].startswith(f"DATAROW primary {term} ")
 
 
-def test_a_killed_primary_returns_with_its_log_as_what_it_may_be(tmp_path):
+def test_a_restarted_primary_keeps_its_log_and_its_role_unless_replaced(tmp_path):
     async def play(group, primary, other, third):
         await ask(primary, "WRITE t0 1")
         group.crash(primary)
@@ -299,7 +299,7 @@
         group.restart(primary)
         await until(lambda: joined(primary))
         assert await leads(primary, 1)
-        assert await held(primary) == 1
+        assert await entry_count(primary) == 1
         group.crash(primary)
         group.promote(other.name)
         await until(lambda: leads(other, 2))
@@ -307,14 +307,14 @@
         await until(lambda: joined(primary))
         assert not await leads(primary, 1)
 
-    playing(tmp_path, play)
+    run_group(tmp_path, play)
 
 
 async def joined(instance):
     return instance.control is not None
 
 
-def test_a_paused_instance_is_dark_and_its_promotion_waits_for_it(tmp_path):
+def test_a_paused_instance_is_unreachable_and_its_promotion_waits_for_it(tmp_path):
     async def play(group, primary, paused, third):
         group.pause(paused)
         assert group.promote(paused.name)
@@ -325,7 +325,7 @@
         group.resume(paused)
         await until(lambda: leads(paused, 2))
 
-    playing(tmp_path, play)
+    run_group(tmp_path, play)
 
 
 def test_a_release_joins_first_and_passes_the_log_on(tmp_path):
@@ -338,18 +338,18 @@
 
         group.on_entry = follow
         await ask(primary, "WRITE t0 1")
-        await until(lambda: has(old, 1))
-        await group.release(old, hand_over_log=True)
+        await until(lambda: holds_entries(old, 1))
+        await group.release(old, passes_on=True)
         new, successor = group.instances[f"{SERVICE}-i3"], group.instances[f"{SERVICE}-i4"]
-        assert 0.005 <= entered[new.name] <= 0.03, "its entry follows"
+        assert 0.005 <= entered[new.name] <= 0.03, "its directory entry follows"
         assert (old.ended, successor.port) == (True, old.port)
         assert read_journal_state(successor.journal).log == read_journal_state(old.journal).log
         assert not successor.may_lead_on, "also where it is killed before it has started"
-        assert await has(new, 1)
-        assert await has(successor, 1)
+        assert await holds_entries(new, 1)
+        assert await holds_entries(successor, 1)
 
     times = InstanceTimes(draining=(0.1, 0.2), before_successor=(0.05, 0.1))
-    playing(tmp_path, play, times)
+    run_group(tmp_path, play, times)
 
 
 # --- the directory --------------------------------------------------------------------------------
@@ -371,7 +371,7 @@
         await asyncio.sleep(0.1)
         assert ("servers", second.name) not in store.objects
 
-    playing(tmp_path, play, InstanceTimes(draining=(0.1, 0.1)), count=2)
+    run_group(tmp_path, play, InstanceTimes(draining=(0.1, 0.1)), count=2)
 
 
 def test_entries_wait_for_the_store_and_go_when_nothing_is_written(tmp_path, monkeypatch):
@@ -400,20 +400,20 @@
         await asyncio.sleep(0.1)
         assert listed(first)
 
-    playing(tmp_path, play, count=2)
+    run_group(tmp_path, play, count=2)
 
 
 # --- checks ---------------------------------------------------------------------------------------
 
 
 def journals(**lines):
-    """Journals of instances that started at 0."""
+    """Returns the journals of instances that started at time 0."""
     return {
         name.replace("_", "-"): [
             JournalLine(0.0, note=f"started as {name.replace('_', '-')}"),
-            *told,
+            *own_lines,
         ]
-        for name, told in lines.items()
+        for name, own_lines in lines.items()
     }
 
 
@@ -422,12 +422,15 @@
     record.acknowledged_by[("t0", number)] = (at, proxy)
 
 
-def promoted_without(told_at):
-    """i-1 leads from 5.0 on without the second commit of i-0, which i-2 has."""
+def promotion_without_commit(acknowledged_at):
+    """Returns a history in which i-1 is primary from 5.0 s on and lacks the second commit of i-0.
+
+    i-2 has that commit.
+    """
     one, two = entries(1, 1, 2)
     record = Record()
     acknowledged(record, 1, 1.0)
-    acknowledged(record, 2, told_at)
+    acknowledged(record, 2, acknowledged_at)
     return record, GroupHistory.of(
         journals(
             i_0=[
@@ -446,8 +449,8 @@
     )
 
 
-def test_a_commit_missing_at_a_promotion_is_lost_and_told_with_its_holders():
-    record, history = promoted_without(told_at=2.2)
+def test_a_commit_missing_at_a_promotion_is_reported_with_its_holders():
+    record, history = promotion_without_commit(acknowledged_at=2.2)
     losing = check_group(record, history)
     assert [lead.instance for lead in losing] == ["i-1"]
     (broken,) = record.broken
@@ -456,15 +459,15 @@
     assert broken.endswith("held then by i-0,i-2")
 
 
-def test_a_commit_told_after_the_promotion_is_lost_at_the_end():
-    record, history = promoted_without(told_at=5.5)
+def test_a_commit_acknowledged_after_the_promotion_is_reported_at_the_end():
+    record, history = promotion_without_commit(acknowledged_at=5.5)
     assert check_group(record, history) == []
     (broken,) = record.broken
     assert broken.startswith("LOST: t0 2 is not in the last log")
 
 
 @pytest.mark.parametrize(("excused", "count"), [(False, 1), (True, 0)])
-def test_a_replaced_primary_that_acknowledges_is_told(excused, count):
+def test_a_replaced_primary_that_acknowledges_is_reported(excused, count):
     (one,) = entries(1, 1)
     record = Record()
     acknowledged(record, 1, 6.1)
@@ -485,8 +488,8 @@
 
 
 def test_an_old_read_is_stale_unless_what_it_lacks_was_lost():
-    record, history = promoted_without(told_at=2.2)
-    record.old_reads = [ReadObservation("a", "latest", "t0", 1, before=9.0, own=0)]
+    record, history = promotion_without_commit(acknowledged_at=2.2)
+    record.old_reads = [ShownNumber("a", "latest", "t0", 1, before=9.0, own=0)]
     check_group(record, history)
     assert not any(item.startswith("STALE") for item in record.broken)
     record.old_reads = [ReadObservation("a", "latest", "t0", 0, before=9.0, own=0)]
@@ -504,8 +507,10 @@
         ([2, 1, 3], 3, True),
     ],
 )
-def test_a_read_that_shows_a_write_of_unknown_outcome_has_seen_what_it_follows(logged, own, stale):
-    """The first write was in doubt, and took effect late."""
+def test_a_read_that_shows_a_write_of_unknown_outcome_covers_the_writes_before_it(
+    logged, own, stale
+):
+    """Guards against false alarms: a write of unknown outcome may take effect after later ones."""
     record = Record()
     acknowledged(record, 2, 1.0)
     record.old_reads = [ReadObservation("a", "latest", "t0", 1, before=9.0, own=own)]
@@ -513,7 +518,7 @@
     assert bool(record.broken) == stale
 
 
-def test_a_journal_that_was_passed_on_tells_of_its_new_instance_only_what_is_its_own(tmp_path):
+def test_a_journal_passed_on_credits_its_new_instance_only_with_its_own_lines(tmp_path):
     path = tmp_path / "i-0.journal"
     journal = Journal(path)
     journal.write(term=1, role="primary", note="started as i-0")
--- a/tests/promoted/soak/test_soak_promotions.py
+++ b/tests/promoted/soak/test_soak_promotions.py
@@ -1,4 +1,4 @@
-"""Changes of primary on real processes: short runs, and scenarios and plans that lost commits."""
+"""Changes of primary on real processes, by scenarios and fault plans that once lost commits."""
 
 import asyncio
 from dataclasses import dataclass, replace
@@ -19,10 +19,10 @@
 
 @dataclass(frozen=True)
 class RegressionSeed:
-    """A seed whose run lost commits before a repair, the cause, and how it was played.
+    """A seed whose run lost commits before a fix, with the cause and the options of the run.
 
-    Its faults are kept in a file, so that they stay as they were when schedules are drawn
-    otherwise. `in_tests` are played here; any of them by `orchidwind-bench soak --plan`.
+    Its faults are kept in a file, so that a change of the schedule generator does not alter them.
+    Seeds with `in_tests` run here; `orchidwind-bench soak --plan` runs any of them.
     """
 
     seed: int
@@ -33,19 +33,19 @@
 
 
 REGRESSION_SEEDS = (
-    RegressionSeed(1001, "a drained primary had confirmed and was not counted", in_tests=True),
-    RegressionSeed(7005, "the directory lapsed: two that had confirmed were not counted", groups=3),
-    RegressionSeed(10002, "as 1001; the one chosen had just joined, in the newest term"),
-    RegressionSeed(30017, "one that joined after the call confirmed for the old primary"),
-    RegressionSeed(40004, "ones that still caught up were counted, twice", in_tests=True),
-    RegressionSeed(40012, "a fence was lost after the call", in_tests=True),
-    RegressionSeed(60002, "one that caught up seemed to be ahead", position_term="followed"),
+    RegressionSeed(1001, "a drained primary that had confirmed was not counted", in_tests=True),
+    RegressionSeed(7005, "entries expired: two confirming instances were not counted", groups=3),
+    RegressionSeed(10002, "as 1001; the chosen instance had just joined, in the newest term"),
+    RegressionSeed(30017, "an instance that joined after the call confirmed for the old primary"),
+    RegressionSeed(40004, "instances still catching up were counted, twice", in_tests=True),
+    RegressionSeed(40012, "a fence was lost after the promotion call", in_tests=True),
+    RegressionSeed(60002, "an instance catching up seemed ahead", position_term="followed"),
 )
 REGRESSION_SECONDS = 20.0
 
 
 def plan_of(item):
-    """The faults that the run of a seed had."""
+    """Reads the faults of a seed's run from its file."""
     return read_plan(PLANS / f"seed-{item.seed}.json")
 
 
@@ -57,7 +57,7 @@
     draining=(2.0, 2.0),
     before_successor=(0.5, 0.5),
 )
-# A promotion as slow as it may be leaves room for what happens meanwhile, also on a busy machine.
+# The slowest allowed promotion leaves time for faults during it, even on a busy machine.
 SLOW = replace(STEADY, promotion=(1.0, 1.0))
 CATCHING_UP = replace(STEADY, lag=(0.02, 0.02), part=(1, 1), position_term="followed")
 LAGGING = replace(STEADY, lag=(0.01, 0.01), part=(1, 1))
@@ -66,7 +66,7 @@
 
 @dataclass(frozen=True)
 class Scenario:
-    """Faults that lost commits, how instances behave, and how long callers ask, in seconds."""
+    """Faults that once lost commits, the timing of the instances, and the seconds of load."""
 
     plan: tuple[PlannedFault, ...]
     times: InstanceTimes
@@ -74,7 +74,8 @@
 
 
 SCENARIOS = {
-    # The replaced primary follows while it drains, is the only one to confirm, and ends.
+    # The replaced primary follows while it drains, is the only instance to confirm commits, and
+    # ends.
     "a_drained_primary_had_confirmed": Scenario(
         (
             PlannedFault(1.0, "release_primary", 0.0, SECOND),
@@ -85,7 +86,7 @@
         STEADY,
         7.0,
     ),
-    # After the call the old primary is back, and a replica returns without its fence.
+    # After the promotion call the old primary is back, and a replica restarts without its fence.
     "a_fence_is_lost_after_the_call": Scenario(
         (
             PlannedFault(1.0, "pause_primary", 4.0, FIRST),
@@ -95,7 +96,7 @@
         SLOW,
         5.0,
     ),
-    # After the call the old primary is back, and an instance joins that nobody has fenced.
+    # After the promotion call the old primary is back, and an unfenced instance joins.
     "an_instance_joins_after_the_call": Scenario(
         (
             PlannedFault(1.0, "pause_primary", 4.0, FIRST),
@@ -105,7 +106,7 @@
         SLOW,
         5.0,
     ),
-    # Positions carry the term that is followed: one that still catches up seems to be ahead.
+    # Log positions carry the followed term: an instance that is still catching up seems ahead.
     "one_that_catches_up_seems_ahead": Scenario(
         (
             PlannedFault(1.0, "deafen_replica", 8.0, FIRST),
@@ -118,8 +119,8 @@
         CATCHING_UP,
         7.0,
     ),
-    # The only replica that is left follows the newest term and lacks most of the one before; its
-    # position tells so, and the primary that is demoted for it has everything.
+    # The only remaining replica follows the newest term and lacks most of the previous one, as its
+    # log position shows; the primary that is demoted for it has all entries.
     "one_that_catches_up_is_counted": Scenario(
         (
             PlannedFault(0.8, "deafen_replica", 9.0, FIRST),
@@ -173,7 +174,7 @@
     assert broken == []
 
 
-def test_plans_name_faults_that_there_are():
+def test_plans_name_only_known_faults():
     plans = [plan_of(item) for item in REGRESSION_SEEDS]
     plans += [list(item.plan) for item in SCENARIOS.values()]
     plans += [draw_promotions(seed, 20.0) for seed in range(40)]
--- a/tests/promoted/soak/test_soak_returns.py
+++ b/tests/promoted/soak/test_soak_returns.py
@@ -1,4 +1,4 @@
-"""Real processes while the store comes back from older copies of itself."""
+"""Checks the promises on real processes while the store is restored from older copies."""
 
 import asyncio
 
@@ -7,8 +7,8 @@
 from orchidwind_bench.platform.soak.system import SoakSizes
 
 SECONDS = 24.0
-# Each return loses what was written since its fault began: a change of the configuration and a
-# change of primary, then a proxy's own entries. A primary crashes just after the second return.
+# Each restore loses all writes since its fault began: first a change of the configuration and a
+# change of primary, then the entries of a proxy. A primary crashes just after the second restore.
 PLAN = [
     PlannedFault(1.5, "return_store", 2.0, 0),
     PlannedFault(1.8, "change_configuration", 0.0, 0),
@@ -21,7 +21,7 @@
 ]
 
 
-def test_promises_hold_while_the_store_comes_back_twice(tmp_path):
+def test_promises_hold_while_the_store_is_restored_twice(tmp_path):
     report = asyncio.run(soak(7, SECONDS, tmp_path, SoakSizes(), promotions=True, plan=PLAN))
     assert report.broken == []
     assert report.answers["ok"] > 50
@@ -29,4 +29,4 @@
         sum(" event=store_came_back" in line for line in log.read_text().splitlines())
         for log in tmp_path.glob("proxy-*.log")
     ]
-    assert sum(returns) >= 2 * len(returns) - 1, "all but the killed proxy saw both"
+    assert sum(returns) >= 2 * len(returns) - 1, "all proxies but the killed one saw both restores"
--- a/tests/promoted/test_exploration.py
+++ b/tests/promoted/test_exploration.py
@@ -1,7 +1,8 @@
-"""The explorer of the change of primary: it replays exactly, it bites, and what it found stays.
+"""Tests of the explorer that searches fault schedules of a change of primary.
 
-Each guard is taken away in a variant that lives here alone; the explorer then finds a broken
-promise, which the product keeps under the same schedule.
+They check that a schedule replays exactly, that schedules which once broke a promise no longer do,
+and that the explorer detects missing guards: variants defined only in this file lack one guard
+each, the explorer finds a broken promise for them, and the product keeps it on the same schedule.
 """
 
 import json
@@ -28,19 +29,21 @@
 from orchidwind_bench.promoted.exploration.world import SCENARIOS, play
 
 PRODUCT = ProductLogic()
-# The whole of this file takes less than a minute; a search that finds nothing ends after this.
+# A search that finds nothing ends after this time; the whole file takes less than a minute.
 SEARCH_SECONDS = 20.0
-FOUND = json.loads((Path(__file__).parent / "found_schedules.json").read_text())
+RECORDED = json.loads((Path(__file__).parent / "found_schedules.json").read_text())
 
 
-def found(group):
-    """Schedules that broke a promise once, as they were found."""
+def regression_schedules(group):
+    """Returns the recorded schedules of a group, each of which once broke a promise."""
     return [
-        Schedule(item["scenario"], item["deviations"]) for item in FOUND if item["group"] == group
+        Schedule(item["scenario"], item["deviations"])
+        for item in RECORDED
+        if item["group"] == group
     ]
 
 
-def broken(schedule, logic=PRODUCT):
+def broken_promises(schedule, logic=PRODUCT):
     return {violation.promise for violation in play(schedule, logic).violations}
 
 
@@ -72,24 +75,33 @@
     assert report.schedules >= 1 + one + one * (one - len(among)) // 2
 
 
-# --- what was found -------------------------------------------------------------------------------
+# --- regression schedules -------------------------------------------------------------------------
 
 
-@pytest.mark.parametrize("schedule", found("kept"), ids=str)
+@pytest.mark.parametrize("schedule", regression_schedules("kept"), ids=str)
 def test_schedules_that_broke_a_promise_once_keep_all(schedule):
-    assert broken(schedule) == set()
+    assert broken_promises(schedule) == set()
 
 
-def test_no_commit_is_told_that_a_log_which_leads_already_lacks():
-    assert [schedule for schedule in found("told_late") if broken(schedule)] == []
+def test_no_commit_is_acknowledged_that_the_new_primary_lacks():
+    """Guards against a late acknowledgement, after the promotion of a log without the commit."""
+    assert [
+        schedule for schedule in regression_schedules("told_late") if broken_promises(schedule)
+    ] == []
 
 
-def test_fences_that_a_change_left_are_freed():
-    assert [schedule for schedule in found("left_fences") if broken(schedule)] == []
+def test_fences_left_by_a_change_of_primary_are_removed():
+    """Guards against instances that stay fenced after an unfinished change of primary."""
+    assert [
+        schedule for schedule in regression_schedules("left_fences") if broken_promises(schedule)
+    ] == []
 
 
-def test_a_group_whose_primary_left_for_good_gets_another():
-    assert [schedule for schedule in found("departed") if broken(schedule)] == []
+def test_a_primary_that_left_permanently_is_replaced():
+    """Guards against a group that stays without a primary after its primary has left."""
+    assert [
+        schedule for schedule in regression_schedules("departed") if broken_promises(schedule)
+    ] == []
 
 
 def test_random_schedules_keep_the_promises():
@@ -100,8 +112,8 @@
 # --- guards ---------------------------------------------------------------------------------------
 
 
-def answering(flow, answer):
-    """The same flow, with the steps for which `answer` gives a result answered by it."""
+def override_steps(flow, answer):
+    """Runs a flow, but answers a step by `answer` where that returns a tuple with the result."""
     result, thrown = None, None
     while True:
         try:
@@ -119,62 +131,62 @@
             thrown = lost
 
 
-def members_as_planned(plan):
+def skip_member_read(plan):
     def answer(step):
         return (plan,) if isinstance(step, ReadMembers) else None
 
-    return answering(change_primary(plan), answer)
+    return override_steps(change_primary(plan), answer)
 
 
-def without_record(plan):
+def skip_promotion_record(plan):
     def answer(step):
         return (True,) if isinstance(step, RecordPromotion) else None
 
-    return answering(change_primary(replace(plan, last_promotion=None)), answer)
+    return override_steps(change_primary(replace(plan, last_promotion=None)), answer)
 
 
-def leases_ignored(plan):
+def skip_lease_wait(plan):
     def answer(step):
         return (None,) if isinstance(step, AwaitRevocation) else None
 
-    return answering(change_primary(plan), answer)
+    return override_steps(change_primary(plan), answer)
 
 
-class TakingOwnLock(LockObserver):
-    """Takes its own lock over at once, whatever was called under it."""
+class ImmediateOwnLockTakeover(LockObserver):
+    """Takes over its own lock at once, even if a promotion was called under it."""
 
     def decide(self, now, record, promotion_called=False):
         return super().decide(now, record, promotion_called=False)
 
 
-def longest_fenced(plan, fenced, demoted, fence_term):
+def choose_longest_fenced(plan, fenced, demoted, fence_term):
     if demoted is None:
         return choose_candidate(plan, fenced, demoted, fence_term)
     replicas = fenced_replicas(fenced, fence_term)
     return max(replicas, key=lambda item: (item.received, item.instance), default=None)
 
 
-def no_second_look(selection, candidate, fenced):
+def skip_fence_check(selection, candidate, fenced):
     yield from ()
     return True
 
 
-def lost_in(logic, beginning, among, depth=1):
-    """A schedule by which the explorer shows that a commit is lost; the product keeps it."""
+def find_lost_commit(logic, beginning, among, depth=1):
+    """Returns a schedule on which `logic` loses a commit; raises StopIteration if none is found."""
     explorer = Explorer(logic, SEARCH_SECONDS, findings=3)
     report = explorer.few_deviations([beginning], depth, among)
     lost = (BrokenPromise.LOST, BrokenPromise.TOLD_TOO_LATE)
     return next(item.schedule for item in report.findings if item.promise in lost)
 
 
-def test_commits_that_are_told_at_once_are_lost():
+def test_commits_acknowledged_without_confirmation_are_lost():
     logic = ProductLogic(acknowledge=at_once)
-    schedule = lost_in(logic, Schedule("deaf"), ("restart i-1",))
-    assert broken(schedule) == set()
+    schedule = find_lost_commit(logic, Schedule("deaf"), ("restart i-1",))
+    assert broken_promises(schedule) == set()
 
 
-def test_members_that_are_not_read_anew_lose_commits():
-    logic = ProductLogic(change_primary=members_as_planned)
+def test_skipping_the_member_read_loses_commits():
+    logic = ProductLogic(change_primary=skip_member_read)
     beginning = Schedule(
         "not-confirming",
         {
@@ -184,19 +196,19 @@
             "store:views:p-2#2": "slow",
         },
     )
-    assert broken(lost_in(logic, beginning, ("join i-3 in parts",))) == set()
+    assert broken_promises(find_lost_commit(logic, beginning, ("join i-3 in parts",))) == set()
 
 
-def test_leases_that_are_not_waited_for_lose_commits():
-    logic = ProductLogic(change_primary=leases_ignored)
+def test_skipping_the_lease_wait_loses_commits():
+    logic = ProductLogic(change_primary=skip_lease_wait)
     beginning = Schedule(
         "calm", {"fault:time#0": "cut p-1 i-0", "fault:p-1:AskAll#0": "cut p-2 store"}
     )
-    assert broken(lost_in(logic, beginning, ("join i-3",))) == set()
+    assert broken_promises(find_lost_commit(logic, beginning, ("join i-3",))) == set()
 
 
-def test_promotions_that_are_not_written_down_lose_commits():
-    logic = ProductLogic(change_primary=without_record)
+def test_unrecorded_promotions_lose_commits():
+    logic = ProductLogic(change_primary=skip_promotion_record)
     beginning = Schedule(
         "leaving",
         {
@@ -207,11 +219,11 @@
             "fault:time#4": "crash i-2",
         },
     )
-    assert broken(lost_in(logic, beginning, ("lag i-3",))) == set()
+    assert broken_promises(find_lost_commit(logic, beginning, ("lag i-3",))) == set()
 
 
-def test_an_own_lock_that_is_taken_over_at_once_loses_commits():
-    logic = ProductLogic(lock_observer=TakingOwnLock)
+def test_taking_over_the_own_lock_at_once_loses_commits():
+    logic = ProductLogic(lock_observer=ImmediateOwnLockTakeover)
     beginning = Schedule(
         "deaf",
         {
@@ -220,30 +232,33 @@
             "promotion:p-1#0": "very late",
         },
     )
-    assert broken(lost_in(logic, beginning, ("restart p-1",))) == set()
+    assert broken_promises(find_lost_commit(logic, beginning, ("restart p-1",))) == set()
 
 
-def test_a_shorter_log_than_the_demoted_primarys_loses_commits(monkeypatch):
+def test_promoting_a_shorter_log_than_the_demoted_primarys_loses_commits(monkeypatch):
     beginning = Schedule("leaving", {"fault:time#0": "lag i-1"})
     with monkeypatch.context() as patch:
-        patch.setattr(failover_choice, "choose_candidate", longest_fenced)
-        schedule = lost_in(PRODUCT, beginning, ("restart i-2",))
-    assert broken(schedule) == set()
+        patch.setattr(failover_choice, "choose_candidate", choose_longest_fenced)
+        schedule = find_lost_commit(PRODUCT, beginning, ("restart i-2",))
+    assert broken_promises(schedule) == set()
 
 
-def test_fences_that_nobody_looks_at_again_lose_commits(monkeypatch):
-    """Neither before the call nor before a commit is told: each of the two is enough here."""
+def test_unchecked_fences_lose_commits(monkeypatch):
+    """The fences are checked before the promotion call and before a commit is acknowledged.
+
+    Either check alone keeps the commit on this schedule, so both are removed to lose it.
+    """
     logic = ProductLogic(acknowledge=GuardedCommits(asks_fences=False))
     beginning = Schedule("calm", {"fault:time#0": "cut p-1 i-0"})
     with monkeypatch.context() as patch:
-        patch.setattr(failover, "_still_best", no_second_look)
-        schedule = lost_in(logic, beginning, ("restart i-1",))
-        assert broken(schedule) == set(), "the look before a commit is told"
-    assert broken(schedule) == set()
+        patch.setattr(failover, "_still_best", skip_fence_check)
+        schedule = find_lost_commit(logic, beginning, ("restart i-1",))
+        assert broken_promises(schedule) == set(), "the check before a commit is acknowledged"
+    assert broken_promises(schedule) == set()
 
 
-class TakingAbsentLock(LockObserver):
-    """Takes the lock of a new era of the store at once: nobody is known to hold it."""
+class ImmediateAbsentLockTakeover(LockObserver):
+    """Takes an absent lock at once, without waiting out the rights of the previous store era."""
 
     def decide(self, now, record, promotion_called=False):
         if not record.exists:
@@ -251,8 +266,12 @@
         return super().decide(now, record, promotion_called)
 
 
-def test_a_lock_that_is_taken_at_once_after_a_return_of_the_store_has_two_promoters():
-    """The holder of before is paused right before its promotion, and goes on after the other's."""
+def test_taking_an_absent_lock_at_once_after_a_restore_has_two_promoters():
+    """Guards against two promoters after the store was restored from a copy without the lock.
+
+    The previous holder is paused right before its promotion call and resumes after the new
+    holder's promotion.
+    """
     schedule = Schedule(
         "crash",
         {
@@ -260,6 +279,6 @@
             "fault:p-2:Promote#0": "pause p-2",
         },
     )
-    logic = ProductLogic(lock_observer=TakingAbsentLock)
-    assert BrokenPromise.TWO_PROMOTERS in broken(schedule, logic)
-    assert broken(schedule) == set()
+    logic = ProductLogic(lock_observer=ImmediateAbsentLockTakeover)
+    assert BrokenPromise.TWO_PROMOTERS in broken_promises(schedule, logic)
+    assert broken_promises(schedule) == set()
--- a/tests/promoted/test_promoted_promises.py
+++ b/tests/promoted/test_promoted_promises.py
@@ -1,4 +1,4 @@
-"""The promises for promoted groups under faults: the real drivers, on virtual time."""
+"""Checks the promises for promoted groups under faults, with the real drivers on virtual time."""
 
 import asyncio
 import random
@@ -21,7 +21,7 @@
 
 
 def play(seed, faults, seconds=8.0, callers_a_node=4, instances=3):
-    """Run a system with faults; returns it after its checks."""
+    """Runs a system with a plan of (time, fault) and returns it after its checks."""
 
     async def work():
         system = PromotedSystem(seed, instances)
@@ -34,7 +34,7 @@
     return run_virtual(work())
 
 
-def test_a_calm_day_breaks_nothing_and_serves_everything():
+def test_without_faults_promises_hold_and_every_command_is_served():
     system = play(1, [])
     assert system.world.history.broken == []
     assert system.world.history.promotions == []
@@ -56,12 +56,12 @@
             instance.restart()
 
 
-def go_dark(system):
+def make_primary_unreachable(system):
     system.group.resets = False
     system.group.primary().crash()
 
 
-def gap_after(system, at):
+def write_gap_after(system, at):
     times = sorted(system.tally.write_times)
     return min(time for time in times if time > at + 0.05) - at
 
@@ -70,14 +70,14 @@
     system = play(2, [(3.0, crash_primary)])
     assert system.world.history.broken == []
     assert len(system.world.history.promotions) == 1
-    assert gap_after(system, 3.0) < 0.3 + 0.5
+    assert write_gap_after(system, 3.0) < 0.3 + 0.5
 
 
 def test_a_primary_that_goes_dark_is_replaced():
-    system = play(3, [(3.0, go_dark)])
+    system = play(3, [(3.0, make_primary_unreachable)])
     assert system.world.history.broken == []
     assert len(system.world.history.promotions) == 1
-    assert gap_after(system, 3.0) < 0.3 + 1.2
+    assert write_gap_after(system, 3.0) < 0.3 + 1.2
 
 
 def test_a_primary_cut_from_its_replicas_is_replaced():
@@ -90,8 +90,8 @@
     assert len(system.world.history.promotions) >= 1
 
 
-def part(system):
-    """The old primary and one proxy are parted from everything else."""
+def isolate_primary_with_proxy(system):
+    """Cuts the old primary and one proxy off from everything else."""
     network = system.world.network
     for other in ("i-1", "i-2"):
         network.cut("i-0", other)
@@ -103,13 +103,17 @@
 
 
 def test_a_proxy_that_only_reaches_the_old_primary_reads_nothing_stale():
-    system = play(5, [(2.0, part), (6.0, lambda system: system.world.network.heal())], 10.0)
+    system = play(
+        5,
+        [(2.0, isolate_primary_with_proxy), (6.0, lambda system: system.world.network.heal())],
+        10.0,
+    )
     assert system.world.history.broken == []
     assert len(system.world.history.promotions) >= 1
 
 
 def lock_readers(system):
-    """The proxies that read the lock for others, the first one first."""
+    """Returns the proxies that read the lock for the others, in order of preference."""
     asked = [node.homes.lock_readers().before for node in nodes(system)]
     return [link.member.name for link in max(asked, key=len)]
 
@@ -146,17 +150,20 @@
 
 
 @pytest.mark.parametrize("fault", ["cut", "silent"])
-def test_a_lock_reader_that_the_store_turns_away_is_not_the_only_one(fault):
-    """Found where the store dropped some proxies, the reader of the lock among them."""
+def test_another_proxy_reads_the_lock_when_the_lock_reader_loses_the_store(fault):
+    """Guards against leases that run out when the store no longer serves the lock reader.
+
+    The store drops or ignores the requests of the proxy that reads the lock for the others.
+    """
 
-    def turn_away(system):
+    def reject_lock_reader(system):
         reader = lock_reader(system)
         if fault == "cut":
             system.world.network.cut(reader, STORE)
         else:
             system.world.store.silent_to.add(reader)
 
-    system = play(41, [(2.0, turn_away)], 6.0)
+    system = play(41, [(2.0, reject_lock_reader)], 6.0)
     assert system.world.history.broken == []
     assert all(node.leases.lease.covered_until > 5.5 for node in nodes(system))
     reads = system.world.store.lock_reads
@@ -164,27 +171,27 @@
     assert sum(reads.get(name, 0) for name in bystanders) <= 4, reads
 
 
-def test_the_check_for_stale_reads_bites_without_the_wait_for_leases(monkeypatch):
+def test_stale_reads_are_detected_without_the_lease_wait(monkeypatch):
     async def no_wait(keeper, group, token, taken_at):
         return None
 
     monkeypatch.setattr(LeaseKeeper, "wait_for_others", no_wait)
-    # A lease is renewed only when little of it is left: this one lasts the whole play.
+    # A lease is renewed only shortly before it ends: this one lasts for the whole run.
     monkeypatch.setattr(leadership_lease, "LEASE_SECONDS", 12.0)
-    system = play(5, [(2.0, part)], 9.0)
+    system = play(5, [(2.0, isolate_primary_with_proxy)], 9.0)
     assert any("STALE" in item for item in system.world.history.broken)
 
 
-def test_the_check_for_stale_reads_bites_without_proofs(monkeypatch):
+def test_stale_reads_are_detected_without_leadership_proofs(monkeypatch):
     async def always(prover, query, term):
         return True
 
     monkeypatch.setattr(LeadershipProver, "proves", always)
-    system = play(5, [(2.0, part)], 9.0)
+    system = play(5, [(2.0, isolate_primary_with_proxy)], 9.0)
     assert any("STALE" in item for item in system.world.history.broken)
 
 
-def test_the_check_for_lost_commits_bites_without_the_count_of_fences(monkeypatch):
+def test_lost_commits_are_detected_without_the_choice_by_position(monkeypatch):
     def least_advanced(plan, fenced, demoted, fence_term):
         replicas = [item for item in fenced.values() if item.instance != plan.old_primary]
         return min(replicas, key=lambda item: item.received, default=None)
@@ -209,8 +216,12 @@
     assert len(failed) <= 3
 
 
-def test_a_new_primary_without_a_replica_that_receives_stays_primary():
-    """One replica receives nothing while the primary crashes; the new one cannot confirm yet."""
+def test_a_new_primary_without_a_confirming_replica_stays_primary():
+    """Guards against another change of primary while the new primary has no confirming replica.
+
+    One replica receives nothing when the primary crashes, so the new primary's writes are not
+    confirmed until the network heals.
+    """
 
     def deafen(system):
         system.world.network.cut("i-0", "i-1")
@@ -218,22 +229,30 @@
 
     system = play(
         7,
-        [(2.0, deafen), (3.0, go_dark), (7.0, lambda system: system.world.network.heal())],
+        [
+            (2.0, deafen),
+            (3.0, make_primary_unreachable),
+            (7.0, lambda system: system.world.network.heal()),
+        ],
         10.0,
     )
     assert system.world.history.broken == []
-    assert gap_after(system, 7.0) < 0.5, "writes go on as soon as the replica receives again"
+    assert write_gap_after(system, 7.0) < 0.5, "writes resume as soon as the replica receives again"
     assert system.group.primary().role is InstanceRole.PRIMARY
 
 
-def lose_for_good(system, name):
+def lose_permanently(system, name):
     instance = system.group.instances[name]
     instance.crash()
     asyncio.get_running_loop().call_later(3.6, system.world.store.drop_entry, name)
 
 
-def test_a_primary_lost_after_another_was_lost_for_good_is_replaced():
-    """The first loss left before the present term began, so it confirmed nothing of it."""
+def test_a_primary_lost_after_a_permanent_loss_is_replaced():
+    """Guards against a group without a primary after two losses.
+
+    The first instance left before the current term began, so it confirmed no commit of that term
+    and must not block the second change of primary.
+    """
 
     def second_loss(system):
         assert system.group.primary().name != "i-0"
@@ -241,44 +260,48 @@
 
     system = play(
         9,
-        [(2.0, lambda system: lose_for_good(system, "i-0")), (8.0, second_loss)],
+        [(2.0, lambda system: lose_permanently(system, "i-0")), (8.0, second_loss)],
         12.0,
         instances=4,
     )
     assert system.world.history.broken == []
-    assert gap_after(system, 8.0) < 1.5
+    assert write_gap_after(system, 8.0) < 1.5
     assert len(system.world.history.promotions) == 2
 
 
-def leave_alone_with_its_primary(system):
-    """i-3, which is leaving, is the only replica that confirms."""
+def make_leaving_replica_confirm_alone(system):
+    """Makes i-3, which is draining, the only replica that confirms commits."""
     system.group.announce(system.group.instances["i-3"], draining=True)
     for other in ("i-1", "i-2"):
         system.world.network.cut("i-0", other)
 
 
-def end_leaving(system):
+def end_leaving_replica(system):
     system.group.instances["i-3"].crash()
     system.world.store.drop_entry("i-3")
 
 
 @pytest.mark.parametrize("gone_before_restart", [True, False])
-def test_fresh_proxies_promote_none_that_lacks_what_a_leaver_confirmed(gone_before_restart):
-    """Its log left with it, so the only whole one is the primary's."""
+def test_restarted_proxies_promote_no_replica_that_lacks_confirmed_commits(gone_before_restart):
+    """Guards against lost commits when restarted proxies promote a replica without them.
+
+    Only the drained replica had confirmed them and its log is gone, so the primary alone has a
+    complete log.
+    """
     restart_at = 4.5 if gone_before_restart else 3.5
     plan = [
-        (2.0, leave_alone_with_its_primary),
+        (2.0, make_leaving_replica_confirm_alone),
         (restart_at, lambda system: system.start_proxies()),
-        (4.0, end_leaving),
+        (4.0, end_leaving_replica),
         (12.0, lambda system: system.world.network.heal()),
     ]
     system = play(10, plan, 16.0, instances=4)
     assert system.world.history.broken == []
     assert system.group.primary().name == "i-0"
-    assert gap_after(system, 12.0) < 1.0, "writes go on as soon as a replica is reached"
+    assert write_gap_after(system, 12.0) < 1.0, "writes resume as soon as a replica is reached"
 
 
-# An instance that joins is listed so long afterwards.
+# Time from the join of an instance to its directory entry.
 ANNOUNCED_AFTER_SECONDS = (0.0, 0.012, 0.3)
 PAUSE_SECONDS = (0.3, 1.0, 3.5)
 FAULTS = st.lists(
@@ -325,11 +348,11 @@
     elif kind == "silent":
         instance.lose_answers = 0.1
     else:
-        inflict_on_one_that_runs(group, kind, first, second)
+        inflict_on_running_instance(group, kind, first, second)
 
 
-def inflict_on_one_that_runs(group, kind, first, second):
-    """Faults that also meet instances which joined later."""
+def inflict_on_running_instance(group, kind, first, second):
+    """Inflicts a fault on a running instance, which may have joined during the run."""
     running = [item for item in group.instances.values() if item.alive and not item.draining]
     if not running:
         return
@@ -344,7 +367,7 @@
         instance.pause(PAUSE_SECONDS[second])
 
 
-def settle(system):
+def repair_everything(system):
     system.world.network.heal()
     system.world.store.down = False
     system.world.store.lose_answers = 0.0
@@ -357,24 +380,25 @@
 
 
 def play_random(seed, faults, unkind=False, instances=3):
-    """Inflict one fault after another, mend everything, and see that writes go on.
+    """Inflicts one fault after another, repairs everything, and checks that writes resume.
 
-    With `unkind` logs travel in parts, and nobody knows how long a promotion takes.
+    With `unkind`, logs are sent in parts and the duration of a promotion varies.
     """
     plan = [(0.0, lambda system: system.group.be_unkind())] if unkind else []
     at = 1.0
     for kind, first, second, pause in faults:
         plan.append((at, lambda s, k=kind, f=first, o=second: inflict(s, k, f, o)))
         at += pause
-    plan.append((at + 2.0, settle))
+    plan.append((at + 2.0, repair_everything))
     system = play(seed, plan, at + 8.0, callers_a_node=2, instances=instances)
     assert system.world.history.broken == []
-    assert max(system.tally.write_times, default=0.0) > at + 5.0, "no write after all was mended"
+    assert max(system.tally.write_times, default=0.0) > at + 5.0, "no write after the repair"
 
 
-# Seeds that failed once; each names the fault that it found.
-FOUND = [
-    # A replica freed before it followed the new primary confirmed a commit of the old one.
+# Seeds that once broke a promise, each with the fault that it found.
+REGRESSIONS = [
+    # A replica whose fence was removed before it followed the new primary confirmed a commit of
+    # the old primary.
     (
         141,
         [
@@ -387,7 +411,7 @@
             ("drain", 0, 0, 1.26),
         ],
     ),
-    # The same, where the new primary could not reach the replica at all.
+    # The same fault; the new primary could not reach the replica at all.
     (
         62052,
         [
@@ -403,14 +427,14 @@
 ]
 
 
-@pytest.mark.parametrize(("seed", "faults"), FOUND)
+@pytest.mark.parametrize(("seed", "faults"), REGRESSIONS)
 def test_promises_hold_where_they_once_broke(seed, faults):
     play_random(seed, faults)
 
 
-# The same for days with unkind instances, with the seed of the proxies' own jitter.
-FOUND_UNKIND = [
-    # An instance joined after the members had been read, and confirmed alone.
+# Runs with `unkind` that once broke a promise: seed, seed of the proxies' jitter, faults.
+REGRESSIONS_UNKIND = [
+    # An instance joined after the members had been read, and was the only one to confirm a commit.
     (
         57278,
         74,
@@ -424,7 +448,7 @@
             ("join", 0, 1, 0.59),
         ],
     ),
-    # The same, where the change of primary began before the instance joined and took long.
+    # The same fault; a slow change of primary began before the instance joined.
     (
         29802,
         112,
@@ -435,7 +459,7 @@
             ("release", 1, 1, 0.77),
         ],
     ),
-    # The same, as one instance was released while another was replaced as unreachable.
+    # The same fault; one instance was released while another was replaced as unreachable.
     (
         36723,
         1184,
@@ -447,7 +471,7 @@
             ("deaf", 0, 1, 1.36),
         ],
     ),
-    # The same, between the last look at the fences and the effect of the promotion.
+    # The same fault, between the last check of the fences and the effect of the promotion.
     (
         62104,
         668,
@@ -458,7 +482,7 @@
             ("silent", 0, 1, 0.36),
         ],
     ),
-    # The same, as the instance that was to lead was released meanwhile.
+    # The same fault; the instance chosen as the next primary was released meanwhile.
     (
         12223,
         10644,
@@ -469,7 +493,7 @@
             ("pause", 1, 2, 1.52),
         ],
     ),
-    # The same, while the primary that was to be replaced was released; its own log was longer.
+    # The same fault; the primary to be replaced was released meanwhile, and its log was longer.
     (
         20169,
         1348,
@@ -480,7 +504,8 @@
             ("restart", 0, 1, 0.16),
         ],
     ),
-    # A change that was given up freed a replica that still followed the old primary.
+    # An abandoned change of primary removed the fence of a replica that still followed the old
+    # primary.
     (
         46820,
         211,
@@ -492,7 +517,8 @@
             ("pause", 2, 0, 1.93),
         ],
     ),
-    # A replaced primary told after a pause what it had been confirmed before: that is allowed.
+    # After a pause, a replaced primary acknowledged commits that had been confirmed before its
+    # replacement: this is allowed.
     (
         28456,
         48,
@@ -507,9 +533,10 @@
 ]
 
 
-# A replica was released, and soon after it the primary. Their logs are at their addresses again,
-# but who has ended counts for long as one that may have confirmed, and nobody leads.
-FOUND_WITHOUT_WRITES = [
+# A replica was released, and soon after it the primary. Their successors hold the same logs at the
+# same addresses, but an ended instance counts for long as one that may have confirmed commits, and
+# the group had no primary.
+REGRESSIONS_WITHOUT_WRITES = [
     # The store was down while the primary was released.
     (
         42581,
@@ -547,7 +574,7 @@
             ("release", 0, 1, 0.79),
         ],
     ),
-    # The next primary was released as it was promoted, and ended soon after it began to lead.
+    # The next primary was released during its promotion, and ended soon after it became primary.
     (
         3991,
         10392,
@@ -575,14 +602,18 @@
 ]
 
 
-@pytest.mark.parametrize(("seed", "jitter", "faults"), FOUND_UNKIND)
+@pytest.mark.parametrize(("seed", "jitter", "faults"), REGRESSIONS_UNKIND)
 def test_promises_hold_where_unkind_instances_once_broke_them(seed, jitter, faults):
     random.seed(jitter)
     play_random(seed, faults, unkind=True)
 
 
-def test_an_instance_that_joined_while_a_change_was_begun_confirms_nothing_that_is_lost():
-    """The primary is frozen meanwhile; found with four instances."""
+def test_commits_confirmed_by_an_instance_that_joined_during_a_change_are_kept():
+    """Guards against the loss of commits that a newly joined instance alone has confirmed.
+
+    The instance joins while a change of primary is under way and the primary is paused; the fault
+    was found with four instances.
+    """
     faults = [
         ("restart", 2, 1, 0.36),
         ("deaf", 1, 0, 0.79),
@@ -596,13 +627,13 @@
     play_random(13236, faults, unkind=True, instances=4)
 
 
-@pytest.mark.parametrize(("seed", "jitter", "faults"), FOUND_WITHOUT_WRITES)
+@pytest.mark.parametrize(("seed", "jitter", "faults"), REGRESSIONS_WITHOUT_WRITES)
 def test_writes_go_on_after_a_replica_and_the_primary_were_released(seed, jitter, faults):
     random.seed(jitter)
     play_random(seed, faults, unkind=True)
 
 
-# Shrinking takes minutes on simulated days; the failing schedule itself tells enough.
+# Shrinking takes minutes on simulated runs, and the failing schedule itself is readable.
 @settings(max_examples=20, phases=[Phase.explicit, Phase.generate])
 @given(st.integers(0, 2**16), FAULTS)
 def test_promises_hold_under_random_faults(seed, faults):
@@ -610,7 +641,11 @@
 
 
 def test_a_second_failover_does_not_choose_a_replica_that_is_a_term_behind():
-    """i-1 hears nothing from 1.5 s on; i-0 crashes and is gone; i-2 then finds no replica."""
+    """Guards against lost commits when a replica that missed a term is promoted.
+
+    i-1 receives nothing from 1.5 s on; i-0 crashes and leaves; i-2 is promoted and has no replica
+    until the network heals.
+    """
 
     def deafen(system):
         for other in ("i-0", "i-2"):
@@ -628,7 +663,10 @@
 
 
 def test_a_lease_drop_whose_confirmation_failed_is_confirmed_again():
-    """Else the holder of the lock waits until all leases have run out."""
+    """Guards against a dropped lease whose confirmation fails once and is not retried.
+
+    The holder of the promotion lock would then wait until all leases have expired.
+    """
 
     async def work():
         system = PromotedSystem(12)
--- a/tests/promoted/test_store_returns.py
+++ b/tests/promoted/test_store_returns.py
@@ -1,13 +1,13 @@
-"""A store that comes back from an older copy: what it is told afterwards is in force in time.
+"""The store is restored from an older copy: later changes must take effect within their bound.
 
-What users saw: a database that a later configuration had dropped was still served, 3.7 s after the
-change was acknowledged. The store had been away for two seconds and had come back as it was some
-seconds before. Its revisions went back from 42 to 39, and each proxy took every listing below 42
-for one that had been overtaken: dropped its content, and called its own view current by it. Once
-the counter had passed 42 again, watches from 42 brought nothing of what was written below.
+Guards against proxies that ignore a restored store. Its revisions go back, for example from 42 to
+39; a proxy that takes every listing below 42 for an outdated one discards it and still counts its
+own view as current. Once the revisions pass 42 again, a watch from 42 misses all changes written
+below it. A database that a later configuration had dropped was thus still served 3.7 s after the
+change was acknowledged.
 
-The evidence: `watch_connected` with revision 39 beside `held_revision` 42, an age of milliseconds
-all the while, and `watch_history_gone` thirty times a second until the counter stood at 42 again.
+The fault shows in the log as `watch_connected` with revision 39 and `held_revision` 42, a view age
+of milliseconds, and `watch_history_gone` thirty times a second until the revisions reach 42 again.
 """
 
 import asyncio
@@ -47,16 +47,16 @@
 
 
 async def lose_writes(system):
-    """The proxy follows the store some revisions further; returns the copy of before."""
+    """Writes objects until the proxy has followed them; returns a copy of the store from before."""
     copy = system.store.copy()
     for number in range(LOST_WRITES):
         system.store.put("others", f"object-{number}", {})
-    # Longer than a watch waits, so that its view is of the last revision.
+    # Longer than a watch waits, so that the proxy's view has the last revision.
     await asyncio.sleep(APPLY_SECONDS)
     return copy
 
 
-def test_a_change_after_the_return_is_in_force_in_time(tmp_path):
+def test_a_change_after_a_restore_is_applied_in_time(tmp_path):
     async def scenario(system):
         copy = await lose_writes(system)
         system.store.restore_from(copy)
@@ -68,7 +68,12 @@
     with_system(tmp_path, scenario, bounds=BOUNDS)
 
 
-def test_a_change_with_a_revision_that_is_given_out_again_is_in_force_in_time(tmp_path):
+def test_a_change_with_a_reused_revision_is_applied_in_time(tmp_path):
+    """Guards against a missed change that is written right after the listing of a restored store.
+
+    The restored store issues revisions again that the proxy already holds.
+    """
+
     async def scenario(system):
         copy = await lose_writes(system)
         held = system.store.revision
@@ -93,15 +98,16 @@
 # --- several proxies, on virtual time -------------------------------------------------------------
 
 BOUND = ProxyBounds().configuration
-# Operators and instances write again what was lost after so many seconds at the latest.
-AGAIN_SECONDS = 2.0
-# From a return on until a primary can be changed again: rights of the era before have run out, the
-# change itself takes 0.6 s at the median, and a dark primary is found within 0.8 s.
-CHANGE_AGAIN_SECONDS = TAKE_OVER_SECONDS + 1.4
+# Operators and instances rewrite lost objects within this time.
+REWRITE_SECONDS = 2.0
+# Time from a restore of the store until a primary can be replaced again: the rights of the previous
+# era have expired, the change itself takes 0.6 s at the median, and an unreachable primary is
+# detected within 0.8 s.
+NEXT_CHANGE_SECONDS = TAKE_OVER_SECONDS + 1.4
 
 
-def come_back(system, copy):
-    system.world.store.restore_from(copy, lambda: system.world.random.random() * AGAIN_SECONDS)
+def restore_store(system, copy):
+    system.world.store.come_back_from(copy, lambda: system.world.random.random() * REWRITE_SECONDS)
 
 
 def refuse_one(system):
@@ -116,13 +122,16 @@
     system.restart_proxy(system.world.random.choice(PROXIES))
 
 
-TROUBLES = (None, refuse_one, cut_one_off, restart_one)
-# 0 to 199 were played by hand and keep the bound; these are for each run.
+STORE_FAULTS = (None, refuse_one, cut_one_off, restart_one)
+# Seeds 0 to 199 keep the bound; each test run plays only these.
 SEEDS = range(60)
 
 
-def change_after_a_return(seed):
-    """The versions that proxies hold one bound after a change that follows a return."""
+def change_after_a_restore(seed):
+    """Applies a configuration after a restore of the store and waits for the bound.
+
+    Returns its version, and the versions held by the proxies before the restore and at the end.
+    """
     held = []
 
     async def scenario(system):
@@ -131,14 +140,16 @@
         for _ in range(random.randrange(4)):
             apply_configuration(system)
             await asyncio.sleep(random.random() * BOUND)
-        trouble = random.choice(TROUBLES)
+        fault = random.choice(STORE_FAULTS)
         await asyncio.sleep(random.random())
         before = versions(system)
-        come_back(system, copy)
-        if trouble is not None:
-            trouble(system)
-        await asyncio.sleep(random.random() * 2 * AGAIN_SECONDS)
-        store.configuration = max(store.configuration, lost(before, store), key=by_version)
+        restore_store(system, copy)
+        if fault is not None:
+            fault(system)
+        await asyncio.sleep(random.random() * 2 * REWRITE_SECONDS)
+        store.configuration = max(
+            store.configuration, newest_acknowledged(before, store), key=by_version
+        )
         version = apply_configuration(system)
         await asyncio.sleep(BOUND)
         held.append((version, before, versions(system)))
@@ -147,8 +158,8 @@
     return held[0]
 
 
-def lost(before, store):
-    """The newest configuration that an operator knows to be acknowledged."""
+def newest_acknowledged(before, store):
+    """Returns the newest acknowledged configuration, which the restore may have lost."""
     newest = max([*before.values(), store.configuration.version])
     return replace(store.configuration, version=newest)
 
@@ -158,12 +169,12 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_a_change_after_a_return_is_in_force_at_all_proxies_in_time(seed):
-    version, _, after = change_after_a_return(seed)
+def test_a_change_after_a_restore_is_applied_by_all_proxies_in_time(seed):
+    version, _, after = change_after_a_restore(seed)
     assert set(after.values()) == {version}
 
 
-def test_nothing_confirmed_goes_back_though_the_copy_stays_at_an_older_version():
+def test_no_proxy_reverts_while_the_store_holds_an_older_configuration():
     async def scenario(system):
         store = system.world.store
         copy = store.copy()
@@ -177,7 +188,7 @@
     with_proxies(scenario)
 
 
-def test_proxies_learn_of_a_return_from_one_another_and_list_themselves_within_a_second():
+def test_proxies_report_a_restore_to_each_other_and_register_again_within_a_second():
     placed = []
 
     async def scenario(system):
@@ -185,7 +196,7 @@
         copy = replace_copy(store.copy(), members={}, leases={})
         for node in system.nodes.values():
             node.homes.limits_changed = count_calls(node.homes.limits_changed, placed)
-        come_back(system, copy)
+        restore_store(system, copy)
         await asyncio.sleep(0.15 * BOUND + STORE_SECONDS * 4)
         assert {node.store_era.current for node in system.nodes.values()} == {1}
         await asyncio.sleep(1.0)
@@ -206,12 +217,12 @@
     return counted
 
 
-def test_rosters_say_no_less_than_the_copy_and_what_was_known():
+def test_rosters_keep_members_that_the_restored_copy_lacks():
     async def scenario(system):
         store = system.world.store
         copy = replace_copy(store.copy(), rosters={})
         known = store.rosters[GROUP]
-        come_back(system, copy)
+        restore_store(system, copy)
         await asyncio.sleep(2.0)
         assert set(known.members) <= set(store.rosters[GROUP].members)
 
@@ -221,7 +232,10 @@
 @pytest.mark.parametrize("lost_seconds", [0.0, 3.0])
 @pytest.mark.parametrize("seed", range(10))
 def test_promises_hold_and_a_primary_can_be_changed_again(seed, lost_seconds):
-    """The store returns while callers ask; the primary crashes just before, with or just after."""
+    """Guards against broken promises, and a group left without a primary, after a restore.
+
+    The store is restored under load; the primary crashes within half a second of it.
+    """
 
     async def work():
         system = PromotedSystem(seed, proxies=PROXIES)
@@ -230,15 +244,15 @@
         returned_at = 4.0 + random.random()
         crashed_at = returned_at + random.random() - 0.5
         loop.call_at(returned_at - lost_seconds, lambda: copies.append(system.world.store.copy()))
-        loop.call_at(returned_at, lambda: come_back(system, copies[0]))
+        loop.call_at(returned_at, lambda: restore_store(system, copies[0]))
         loop.call_at(crashed_at, lambda: system.group.primary().crash())
         await system.run(15.0)
         history = system.world.history
         assert history.broken == []
-        led = [at for at, _, _ in history.promotions]
-        assert led
-        assert max(led) < max(returned_at, crashed_at) + CHANGE_AGAIN_SECONDS
-        later = [commit for commit in history.acknowledged if commit.at > max(led)]
+        promoted_at = [at for at, _, _ in history.promotions]
+        assert promoted_at
+        assert max(promoted_at) < max(returned_at, crashed_at) + NEXT_CHANGE_SECONDS
+        later = [commit for commit in history.acknowledged if commit.at > max(promoted_at)]
         assert later
 
     run_virtual(work())
@@ -249,11 +263,11 @@
     assert before < after
     assert (after.era, after.in_era) == (4, 1)
     assert StoreRevision(int(after)).era == 4
-    assert StoreRevision.of(0, 70_000) == 70_000, "as stored and sent before eras were known"
+    assert StoreRevision.of(0, 70_000) == 70_000, "as stored and sent by proxies without eras"
     assert StoreRevision.of(2**13 - 1, 2**40 - 1) < 2**53
 
 
-# --- the rules, each by itself --------------------------------------------------------------------
+# --- single rules ---------------------------------------------------------------------------------
 
 
 def test_a_lease_counts_only_from_readings_that_were_sent_after_the_registration():
@@ -269,17 +283,17 @@
     assert not lease.covers(2.1)
 
 
-def test_the_lock_of_a_new_era_is_taken_once_all_rights_of_before_have_run_out():
+def test_the_lock_of_a_new_era_is_taken_once_rights_of_the_previous_era_have_expired():
     observer, absent = LockObserver("me"), LockRecord.absent(1)
     seen_at = 10.0
     observer.saw(seen_at, absent.revision)
     late = seen_at + TAKE_OVER_SECONDS
     assert observer.decide(late - 0.01, absent) is LockDecision.WAIT
     assert observer.decide(late, absent) is LockDecision.CREATE
-    assert LockRecord.absent(0).released, "in the first era nobody can have had it"
+    assert LockRecord.absent(0).released, "in the first era no proxy can have held it"
 
 
-def test_a_lock_ends_with_its_era_for_a_holder_that_knows_of_the_return():
+def test_a_lock_ends_with_its_era_for_a_holder_that_knows_of_the_restore():
     async def work():
         era = StoreEra()
         era.saw(0, "store")
@@ -292,8 +306,8 @@
     run_virtual(work())
 
 
-def test_what_proxies_acknowledged_says_nothing_of_terms_that_began_in_an_earlier_era():
-    """A proxy's report may be lost with the copy, and the proxy gone."""
+def test_acknowledgements_do_not_cover_terms_that_began_in_an_earlier_era():
+    """A proxy's confirmation may be lost by the restore after the proxy itself has left."""
     token = StoreRevision.of(0, 9)
     ends = [Position(1, 5)]
     same = AcknowledgedCommits.by_all(ends, [StoreRevision(3)], era=0)
@@ -301,7 +315,7 @@
     assert same.known_since < token < later.known_since
 
 
-def test_a_roster_is_united_with_what_was_known_and_its_promotion_never_goes_back():
+def test_a_roster_is_merged_with_the_known_one_and_its_promotion_never_reverts():
     old = PromotionRecord("i-0", 2, Position(1, 5), StoreRevision.of(0, 7))
     new = PromotionRecord("i-1", 3, Position(2, 9), StoreRevision.of(0, 12))
     known = KnownRoster(GROUP)
@@ -314,5 +328,5 @@
     known.take(replace(written, revision=StoreRevision.of(1, 9)))
     assert known.wanted(tuple) is None
     known.take(Roster(GROUP, ("i-0", "i-1"), StoreRevision.of(1, 10), old))
-    assert known.known.members == ("i-0", "i-1"), "taken off by another proxy, in the same era"
-    assert known.known.last_promotion == new, "a late write of before the return"
+    assert known.known.members == ("i-0", "i-1"), "removed by another proxy, in the same era"
+    assert known.known.last_promotion == new, "a late write from before the restore"
--- a/tests/shared/test_failed_commands.py
+++ b/tests/shared/test_failed_commands.py
@@ -1,4 +1,4 @@
-"""The account of failed commands: each line is counted once, under one cause."""
+"""The summary of failed commands counts each log line once, under one cause."""
 
 import pytest
 
--- a/tests/shared/test_known_red.py
+++ b/tests/shared/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of known failures is short, complete and expected to fail."""
+"""The list of known failures stays short, its entries are complete, and its tests must fail."""
 
 import pytest
 from support import known_red
--- a/tests/shared/test_recorded_messages.py
+++ b/tests/shared/test_recorded_messages.py
@@ -1,8 +1,9 @@
-"""The bytes of every message between proxies, as `recorded_messages.json` holds them.
+"""Compares the bytes of every message between proxies with `recorded_messages.json`.
 
-Proxies of two builds talk to one another while a new build is rolled out, so the bytes stay. The
-file is keyed by union of the schema, name of the record there, and variant: names of Python classes
-do not go over the wire. A new message gets its bytes from the failing comparison, by hand.
+Guards against a change of the wire format: during a rolling upgrade, proxies of two builds exchange
+messages. The file is keyed by the union in the schema, the name of the record and the variant,
+because names of Python classes are not sent. For a new message, copy its bytes from the failing
+comparison into the file by hand.
 """
 
 import asyncio
@@ -112,7 +113,7 @@
 
 
 class Case(NamedTuple):
-    """A message, and the record of the schema that it goes out as."""
+    """A message and the record of the schema that encodes it."""
 
     union: str
     record: str
@@ -124,8 +125,8 @@
         return f"{self.union}/{self.record}/{self.variant}"
 
 
-def cut(data: bytes) -> bytes:
-    """The body of the one frame that the bytes hold."""
+def frame_body(data: bytes) -> bytes:
+    """Returns the body of the only frame in the bytes."""
     cutter = FrameCutter()
     cutter.feed(data)
     body = cutter.next_body()
@@ -134,12 +135,12 @@
     return body
 
 
-def as_it_is(data: bytes) -> bytes:
+def unchanged(data: bytes) -> bytes:
     return data
 
 
 class Codec(NamedTuple):
-    """How a union is written and read."""
+    """Functions that encode a message of a union, strip its frame, and decode its body."""
 
     encode: Callable[[Any], bytes]
     body: Callable[[bytes], bytes]
@@ -147,9 +148,9 @@
 
 
 CODECS: dict[str, Codec] = {
-    "link": Codec(encode_frame, cut, decode_link),
-    "datagram": Codec(encode_datagram, as_it_is, decode_datagram),
-    "peer": Codec(encode_peer, cut, decode_peer),
+    "link": Codec(encode_frame, frame_body, decode_link),
+    "datagram": Codec(encode_datagram, unchanged, decode_datagram),
+    "peer": Codec(encode_peer, frame_body, decode_peer),
 }
 
 # --- the link of proxies for elected groups -------------------------------------------------------
@@ -164,7 +165,7 @@
 def request(
     kind: RequestKind = RequestKind.READ, mode: FloorMode = FloorMode.KNOWN
 ) -> StatementRequest:
-    """A request with every field set."""
+    """Returns a request with every field set."""
     return StatementRequest(
         number=300,
         channel=ChannelKey("proxy-a", 70_000),
@@ -183,7 +184,7 @@
 
 
 def bare_request() -> StatementRequest:
-    """A request of which only what must be there is set."""
+    """Returns a request with only its required fields set."""
     return StatementRequest(
         number=1,
         channel=ChannelKey("proxy-a", 2),
@@ -197,7 +198,7 @@
 
 
 def failed(kind: ErrorKind) -> Outcome:
-    """A request that ended with an error of a kind, by the table of errors."""
+    """Returns the outcome of a request that failed with this kind of error."""
     return Outcome(7, RequestError(kind, "it ended"), transaction_status=TRANSACTION_IDLE)
 
 
@@ -253,7 +254,7 @@
 
 
 def link_cases() -> Iterator[Case]:
-    """The union `link`."""
+    """Yields the cases of the union `link`."""
 
     def case(record: str, message: Any, variant: str = ALL) -> Case:
         return Case("link", record, variant, message)
@@ -287,7 +288,7 @@
 
 
 def member(state: MemberState = MemberState.ALIVE) -> Member:
-    """A member with every field set."""
+    """Returns a member with every field set."""
     return Member("proxy-b", "zone-b", "10.0.0.2", 6433, 6434, state, 12, True)
 
 
@@ -296,7 +297,7 @@
 
 
 def datagram_cases() -> Iterator[Case]:
-    """The union `datagram`."""
+    """Yields the cases of the union `datagram`."""
 
     def case(record: str, message: Any, variant: str = ALL) -> Case:
         return Case("datagram", record, variant, message)
@@ -327,7 +328,7 @@
     kind: CommandKind = CommandKind.EXECUTE,
     transaction: str = "begins",
 ) -> RunCommand:
-    """A command with every field set."""
+    """Returns a command with every field set."""
     return RunCommand(
         number=300,
         channel=70_000,
@@ -352,7 +353,7 @@
 
 
 def bare_command() -> RunCommand:
-    """A command of which only what must be there is set."""
+    """Returns a command with only its required fields set."""
     return RunCommand(
         number=1,
         channel=2,
@@ -377,28 +378,28 @@
 
 
 def answer_with(kind: ErrorKind) -> CommandAnswer:
-    """A command that ended with an error of a kind."""
+    """Returns the answer to a command that failed with this kind of error."""
     return CommandAnswer(7, kind.value, "it ended", None, (), "", None, "", "")
 
 
 def database(consistency: ReadConsistency) -> DatabaseRoute:
-    """A database with every field set."""
+    """Returns a database with every field set."""
     return DatabaseRoute(f"air-{consistency.value}", "svc1", consistency, 1.5, 0.75, 0.25, 2)
 
 
-CONFIGURATION_TOLD = ConfigurationView(
+CONFIGURATION_VIEW = ConfigurationView(
     9,
     tuple(database(consistency) for consistency in ReadConsistency),
     (PromotedGroupSettings("svc1", 34, 1),),
     30.5,
 )
-DIRECTORY_TOLD = DirectoryView(
+DIRECTORY_VIEW = DirectoryView(
     (
         DirectoryEntry("i-0", "svc1", "10.0.0.3", 5432, "z1", True, False, 3, 70_000),
         DirectoryEntry("i-1", "svc1", "10.0.0.4", 65_535, "", False, True, 1, 7),
     )
 )
-MEMBERS_TOLD = MembersView(
+MEMBERS_VIEW = MembersView(
     (
         ProxyMember("front-1", "z1", "10.0.0.1", 7400, 0.5),
         ProxyMember("front-2", "z2", "10.0.0.2", 7401),
@@ -407,30 +408,35 @@
 
 
 def view_report_cases() -> Iterator[tuple[str, ViewReport]]:
-    """A report of each view, with and without items, and of none."""
+    """Yields reports of each view, with and without items, and a report without a view."""
     yield (
         ALL,
-        ViewReport(300, True, 0.25, 9, True, CONFIGURATION_TOLD, DIRECTORY_TOLD, MEMBERS_TOLD),
+        ViewReport(300, True, 0.25, 9, True, CONFIGURATION_VIEW, DIRECTORY_VIEW, MEMBERS_VIEW),
     )
     yield ABSENT, ViewReport(1, known=False, age=0.0, revision=-1)
-    yield "view=configuration", ViewReport(2, True, 0.5, 9, configuration=CONFIGURATION_TOLD)
-    yield "view=directory", ViewReport(3, True, 0.5, 9, directory=DIRECTORY_TOLD)
-    yield "view=members", ViewReport(4, True, 0.5, 9, members=MEMBERS_TOLD)
+    yield "view=configuration", ViewReport(2, True, 0.5, 9, configuration=CONFIGURATION_VIEW)
+    yield "view=directory", ViewReport(3, True, 0.5, 9, directory=DIRECTORY_VIEW)
+    yield "view=members", ViewReport(4, True, 0.5, 9, members=MEMBERS_VIEW)
     empty = ConfigurationView(0, (), (), 30.0)
     yield (
         "empty views",
         ViewReport(5, True, 0.5, 9, False, empty, DirectoryView(()), MembersView(())),
     )
     for consistency in ReadConsistency:
-        told = ConfigurationView(9, (database(consistency),), (), 30.0)
-        yield f"consistency={consistency.value}", ViewReport(6, True, 0.5, 9, configuration=told)
+        encoded_fields = ConfigurationView(9, (database(consistency),), (), 30.0)
+        yield (
+            f"consistency={consistency.value}",
+            ViewReport(6, True, 0.5, 9, configuration=encoded_fields),
+        )
 
 
 def tenant_report_cases() -> Iterator[tuple[str, ViewReport]]:
-    """A report of a configuration with tenants, with and without items."""
+    """Yields reports of a configuration with tenants, with and without items."""
     tenants = (Tenant("bode960", (b"0123456789abcdef", b"fedcba9876543210"), 98.0, 49.0),)
-    told = msgspec.structs.replace(CONFIGURATION_TOLD, tenants=tenants, public=("open-data",))
-    yield ALL, ViewReport(300, True, 0.25, 9, True, told)
+    encoded_fields = msgspec.structs.replace(
+        CONFIGURATION_VIEW, tenants=tenants, public=("open-data",)
+    )
+    yield ALL, ViewReport(300, True, 0.25, 9, True, encoded_fields)
     bare = ConfigurationView(0, (), (), 0.0, tenants=())
     yield ABSENT, ViewReport(1, known=False, age=0.0, revision=-1, configuration=bare)
     keyless = ConfigurationView(0, (), (), 0.0, tenants=(Tenant("", (), 0.0, 0.0),))
@@ -438,7 +444,7 @@
 
 
 def run_command_cases() -> Iterator[tuple[str, RunCommand]]:
-    """A command of each consistency, kind, and progress of a transaction."""
+    """Yields a command for each consistency, kind and progress of a transaction."""
     yield ALL, run_command()
     yield ABSENT, bare_command()
     for consistency in ReadConsistency:
@@ -450,7 +456,7 @@
 
 
 def command_answer_cases() -> Iterator[tuple[str, CommandAnswer]]:
-    """An answer of each error."""
+    """Yields an answer for each kind of error."""
     yield (
         ALL,
         CommandAnswer(
@@ -463,7 +469,7 @@
 
 
 def peer_cases() -> Iterator[Case]:
-    """The union `peer`."""
+    """Yields the cases of the union `peer`."""
 
     def case(record: str, message: Any, variant: str = ALL) -> Case:
         return Case("peer", record, variant, message)
@@ -496,8 +502,8 @@
     yield case("TokenGrant", TokenGrant(300, 0.5))
     shares = QuotaSharesView(("front-1", "front-2"), ("front-3",), 70_000)
     yield case("QuotaSharesReport", ViewReport(300, True, 0.25, 9, quota_shares=shares))
-    nobody = QuotaSharesView((), (), 0)
-    yield case("QuotaSharesReport", ViewReport(1, False, 0.0, -1, quota_shares=nobody), ABSENT)
+    no_holders = QuotaSharesView((), (), 0)
+    yield case("QuotaSharesReport", ViewReport(1, False, 0.0, -1, quota_shares=no_holders), ABSENT)
 
 
 CASES: tuple[Case, ...] = (*link_cases(), *datagram_cases(), *peer_cases())
@@ -539,7 +545,7 @@
     assert {case.name for case in CASES} == in_file
 
 
-# --- whether the table is whole -------------------------------------------------------------------
+# --- completeness of the table --------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("union", UNIONS)
@@ -553,7 +559,7 @@
 
 
 def named_records(schema: Any) -> Iterator[tuple[str, Any]]:
-    """All records of a schema, the ones within others too."""
+    """Yields all records of a schema with their names, including nested records."""
     if isinstance(schema, list):
         for branch in schema:
             yield from named_records(branch)
@@ -570,12 +576,15 @@
 
 
 def may_be_empty(schema: Any) -> bool:
-    """Whether a value of this type can be left out."""
+    """Returns whether a value of this type can be empty or null."""
     return is_array(schema) or (isinstance(schema, list) and "null" in schema)
 
 
-def wanted_fills(records: Records) -> set[tuple[str, str, bool]]:
-    """Each field of each record filled, and each that can be left out left out, too."""
+def required_fills(records: Records) -> set[tuple[str, str, bool]]:
+    """Returns the required (record, field, filled) combinations.
+
+    Each field must occur filled, and each field that may be empty must also occur empty.
+    """
     return {
         (name, field["name"], filled)
         for name, schema in records.items()
@@ -587,7 +596,7 @@
 def found_fills(
     records: Records, name: str, value: dict[str, Any]
 ) -> Iterator[tuple[str, str, bool]]:
-    """Which fields of a record are filled in a value, and of the records within it."""
+    """Yields (record, field, filled) for a value of a record and the records nested in it."""
     for field in records[name]["fields"]:
         held, schema = value[field["name"]], field["type"]
         yield name, field["name"], bool(held) or not may_be_empty(schema)
@@ -599,7 +608,7 @@
 
 
 def record_name(records: Records, schema: Any) -> str | None:
-    """The record that a type is, or that its items are."""
+    """Returns the name of the record that a type or its items refer to; None if there is none."""
     if is_array(schema):
         return record_name(records, schema["items"])
     branches = schema if isinstance(schema, list) else [schema]
@@ -619,11 +628,11 @@
         if case.union == union:
             name, value = read_record(CODECS[union].body(recorded(case)), schema)
             found.update(found_fills(records, name, without_names(value)))
-    assert wanted_fills(records) - found == set()
+    assert required_fills(records) - found == set()
 
 
 def without_names(value: Any) -> Any:
-    """A value without the names of records that the reader puts beside those of a union."""
+    """Returns a value without the record names that the reader adds to values of a union."""
     if isinstance(value, tuple) and len(value) == 2 and isinstance(value[1], dict):
         return without_names(value[1])
     if isinstance(value, dict):
@@ -631,12 +640,12 @@
     return [without_names(item) for item in value] if isinstance(value, list) else value
 
 
-# --- requests and outcomes, from one proxy's form to the other's ----------------------------------
+# --- requests and outcomes: conversion from messages ----------------------------------------------
 
 
 def link_message(record: str, variant: str) -> Any:
-    """What the recorded bytes are read as."""
-    return decode_link(cut(bytes.fromhex(RECORDED["link"][record][variant])))
+    """Decodes the recorded bytes of a message of the union `link`."""
+    return decode_link(frame_body(bytes.fromhex(RECORDED["link"][record][variant])))
 
 
 @pytest.mark.parametrize("variant", list(REQUESTS))
@@ -662,7 +671,7 @@
 
 
 def outcome_fields(outcome: Outcome) -> dict[str, Any]:
-    """All fields but the error, which compares by identity."""
+    """Returns all fields except the error, which compares by identity."""
     names: Iterable[str] = (field.name for field in dataclass_fields(outcome))
     return {name: getattr(outcome, name) for name in names if name != "error"}
 
@@ -672,11 +681,11 @@
     assert from_records(message.columns) == COLUMNS
 
 
-# --- commands as a proxy forwards them ------------------------------------------------------------
+# --- forwarded commands ---------------------------------------------------------------------------
 
 
 class HomeLink:
-    """A link that keeps the commands it is asked, and answers each with success."""
+    """A link to a home proxy that records each command and answers it with success."""
 
     def __init__(self) -> None:
         self.member = ProxyMember("front-2", "z2", "10.0.0.2", 7401)
@@ -691,7 +700,7 @@
 
 
 class OneHome:
-    """Homes of which there is one."""
+    """Routes every group to the same home proxy."""
 
     def __init__(self, link: HomeLink) -> None:
         self._link = link
@@ -704,7 +713,7 @@
 
 
 async def forward(commands: Iterable[Command], in_transaction: bool) -> list[RunCommand]:
-    """What a proxy sends to the home for the commands of one session."""
+    """Returns the messages that a front proxy sends to a home proxy for one session."""
     rules = database(ReadConsistency.BOUNDED)
     session, link = Session(), HomeLink()
     session.settings = {"k": "v w"}
@@ -719,9 +728,9 @@
     return link.asked
 
 
-def told(message: RunCommand) -> dict[str, Any]:
-    """The fields of a command as they are in the schema, without the times that run on."""
-    fields = read_record(cut(encode_peer(message)), load_schema("peer"))[1]
+def encoded_fields(message: RunCommand) -> dict[str, Any]:
+    """Returns the encoded fields of a command, without those that depend on the clock."""
+    fields = read_record(frame_body(encode_peer(message)), load_schema("peer"))[1]
     del fields["remaining"], fields["hold"]
     return without_names(fields)
 
@@ -739,7 +748,7 @@
     "timeout": 0.75,
     "kind": "execute",
     "request_id": "a1",
-    # Its argument says it; no instance gets the text of an EXECUTE.
+    # Empty: the argument is sent in its place, and no instance gets the text of an EXECUTE.
     "text": "",
     "argument": "1a4 x",
     "prepared": {"writes": True, "shape": "q2c"},
@@ -750,10 +759,10 @@
 }
 
 
-def test_a_forwarded_command_tells_all_of_the_session() -> None:
+def test_a_forwarded_command_carries_the_session_state() -> None:
     first, second = asyncio.run(forward((EXECUTE, READ), in_transaction=False))
-    assert told(first) == FORWARDED_EXECUTE
-    assert told(second) == FORWARDED_EXECUTE | {
+    assert encoded_fields(first) == FORWARDED_EXECUTE
+    assert encoded_fields(second) == FORWARDED_EXECUTE | {
         "number": 2,
         "kind": "read",
         "request_id": "a2",
@@ -764,7 +773,7 @@
     }
 
 
-def test_forwarded_commands_tell_how_far_the_transaction_is() -> None:
+def test_forwarded_commands_carry_the_transaction_progress() -> None:
     messages = asyncio.run(forward((READ, READ), in_transaction=True))
     assert [message.transaction for message in messages] == ["begins", "continues"]
     assert [message.read_only for message in messages] == [True, True]
--- a/tests/shared/test_recorded_names.py
+++ b/tests/shared/test_recorded_names.py
@@ -1,8 +1,8 @@
-"""Names that operators and their programs rely on, as `recorded_names.json` holds them.
+"""Compares the names that operators and their tools rely on with `recorded_names.json`.
 
-Figures on `/metrics`, commands and their options, keys of settings files, and the answers to
-errors. A name that is added is added to the file by hand; one that changes breaks somebody's
-dashboard, script or settings.
+These are the metrics on `/metrics`, commands and their options, keys of settings files, and the
+answers to errors. A changed name breaks dashboards, scripts or settings; a new name is added to the
+file by hand.
 """
 
 import argparse
@@ -33,23 +33,23 @@
 ROOT = Path(__file__).parents[2]
 RECORDED: dict[str, Any] = json.loads((Path(__file__).parent / "recorded_names.json").read_text())
 
-# --- figures --------------------------------------------------------------------------------------
+# --- metrics --------------------------------------------------------------------------------------
 
-# The client library's own figures of the process, which depend on the machine.
-LIBRARYS_OWN = "process_"
+# Prefix of the process metrics of the client library, which depend on the machine.
+PROCESS_METRICS_PREFIX = "process_"
 
 
-def figures(rendered: bytes) -> dict[str, Any]:
-    """By name: type, samples, and the values of each label."""
+def parse_metrics(rendered: bytes) -> dict[str, Any]:
+    """Maps the name of each metric to its type, samples, and the values of each label."""
     return {
         family.name: {"type": family.type, "samples": samples(family.samples)}
         for family in text_string_to_metric_families(rendered.decode())
-        if not family.name.startswith(LIBRARYS_OWN)
+        if not family.name.startswith(PROCESS_METRICS_PREFIX)
     }
 
 
 def samples(found: Any) -> dict[str, dict[str, list[str]]]:
-    """By name of a sample: its labels with all values that were shown."""
+    """Maps the name of each sample to its labels and all values that they have."""
     named: dict[str, dict[str, list[str]]] = {}
     for sample in found:
         labels = named.setdefault(sample.name, {})
@@ -60,8 +60,8 @@
     return named
 
 
-def elected_figures() -> dict[str, Any]:
-    """The figures of a proxy for elected groups, each of them counted once."""
+def elected_metrics() -> dict[str, Any]:
+    """Returns the metrics of a proxy for elected groups, each recorded at least once."""
     metrics = Metrics()
     for kind in RequestKind:
         metrics.finished(kind, "ingest", Outcome(1), 0.001)
@@ -72,15 +72,15 @@
         answered = RequestError(error, "x")
         metrics.finished(RequestKind.READ, "ingest", Outcome(1, answered), 0.001)
         metrics.error_answered(answered)
-    return figures(metrics.render())
+    return parse_metrics(metrics.render())
 
 
 def silent(kind: ConnectionKind) -> SilentConnection:
     return SilentConnection(kind, "i-0", 1.0, 1.0, 1, "closed")
 
 
-def promoted_figures() -> dict[str, Any]:
-    """The figures of a proxy for promoted groups, each of them counted once."""
+def promoted_metrics() -> dict[str, Any]:
+    """Returns the metrics of a proxy for promoted groups, each recorded at least once."""
     metrics = ProxyMetrics()
     for command in CommandKind:
         metrics.finished("latest", command, None, 0.001)
@@ -95,31 +95,31 @@
     metrics.view_reported("members", "content", 3)
     metrics.forwarded("ok")
     metrics.watch_age("members", lambda: 1.0)
-    return figures(metrics.render())
+    return parse_metrics(metrics.render())
 
 
-FIGURES: dict[str, Callable[[], dict[str, Any]]] = {
-    "elected": elected_figures,
-    "promoted": promoted_figures,
+METRICS: dict[str, Callable[[], dict[str, Any]]] = {
+    "elected": elected_metrics,
+    "promoted": promoted_metrics,
 }
 
 
-@pytest.mark.parametrize("half", list(FIGURES))
-def test_figures_have_the_recorded_names(half: str) -> None:
-    assert FIGURES[half]() == RECORDED["figures"][half]
+@pytest.mark.parametrize("half", list(METRICS))
+def test_metrics_have_the_recorded_names(half: str) -> None:
+    assert METRICS[half]() == RECORDED["figures"][half]
 
 
-@pytest.mark.parametrize("half", list(FIGURES))
-def test_each_figure_is_recorded_with_its_labels(half: str) -> None:
-    """A figure with labels shows them only once it was counted."""
-    assert [name for name, answered in FIGURES[half]().items() if not answered["samples"]] == []
+@pytest.mark.parametrize("half", list(METRICS))
+def test_each_metric_is_recorded_with_its_labels(half: str) -> None:
+    """Guards against a metric not recorded above: its labels show only after the first value."""
+    assert [name for name, answered in METRICS[half]().items() if not answered["samples"]] == []
 
 
 # --- commands -------------------------------------------------------------------------------------
 
 
 class ParserFound(Exception):
-    """A command is about to read its line; carries the parser."""
+    """Raised instead of parsing the command line; carries the parser."""
 
     def __init__(self, parser: argparse.ArgumentParser) -> None:
         super().__init__("parser found")
@@ -127,13 +127,13 @@
 
 
 def scripts() -> dict[str, str]:
-    """The commands that the package installs, with the function of each as MODULE:NAME."""
+    """Returns the commands that the package installs, each with its function as MODULE:NAME."""
     with (ROOT / "pyproject.toml").open("rb") as file:
         return tomllib.load(file)["project"]["scripts"]
 
 
 def parser_of(target: str, monkeypatch: pytest.MonkeyPatch) -> argparse.ArgumentParser:
-    """The parser that a command reads its line with; the command itself does not run."""
+    """Returns the argument parser of a command without running the command."""
 
     def found(parser: argparse.ArgumentParser, *_: Any, **__: Any) -> None:
         raise ParserFound(parser)
@@ -149,7 +149,7 @@
 
 
 def command_form(parser: argparse.ArgumentParser) -> dict[str, Any]:
-    """Options, positional arguments and subcommands of a parser."""
+    """Describes the options, positional arguments and subcommands of a parser."""
     form: dict[str, Any] = {}
     for action in parser._actions:
         if isinstance(action, argparse._SubParsersAction):
@@ -162,7 +162,7 @@
 
 
 def argument_form(action: argparse.Action) -> dict[str, Any]:
-    """What one argument takes."""
+    """Describes an argument: whether it is required, its choices and its default."""
     form: dict[str, Any] = {"required": action.required}
     if action.choices is not None:
         form["choices"] = [str(choice) for choice in action.choices]
@@ -172,7 +172,7 @@
 
 
 def shown(value: Any) -> Any:
-    """A default value as JSON shows it."""
+    """Returns a default value in the form that JSON can hold."""
     if isinstance(value, Enum):
         return value.name
     return str(value) if isinstance(value, Path) else value
@@ -197,7 +197,7 @@
 
 
 def keys(form: type[msgspec.Struct], prefix: str = "") -> Iterator[tuple[str, Any]]:
-    """All keys of a file, and what each is where it is not given."""
+    """Yields each key of a settings file with its default."""
     for field in msgspec.structs.fields(form):
         key = f"{prefix}{field.encode_name}"
         inner = struct_within(field.type)
@@ -209,14 +209,14 @@
 
 
 def struct_within(form: Any) -> type[msgspec.Struct] | None:
-    """The struct that a type is, or holds."""
+    """Returns the struct that a type is or contains; None if there is none."""
     if isinstance(form, type) and issubclass(form, msgspec.Struct):
         return form
     return next((found for item in get_args(form) if (found := struct_within(item))), None)
 
 
 def default(field: msgspec.structs.FieldInfo) -> Any:
-    """The value of a key that is not given."""
+    """Returns the default of a key, or "must be given" for a required key."""
     if field.required:
         return "must be given"
     if field.default_factory is not msgspec.NODEFAULT:
@@ -237,7 +237,7 @@
 
 
 def answer_row(kind: ErrorKind) -> dict[str, Any]:
-    """What a caller is answered for an error kind."""
+    """Returns the parts of the answer to a caller that depend on the kind of error."""
     answer = ANSWERS[kind]
     return {
         "sqlstate": answer.sqlstate,
@@ -255,5 +255,5 @@
     assert set(ANSWERS) == set(ErrorKind)
 
 
-def test_the_answers_whether_a_request_ran_are_the_recorded_ones() -> None:
+def test_the_values_of_ran_are_the_recorded_ones() -> None:
     assert [ran.value for ran in Ran] == RECORDED["ran"]
--- a/tests/shared/test_recorded_store.py
+++ b/tests/shared/test_recorded_store.py
@@ -1,8 +1,9 @@
-"""The calls to the platform's store, and the objects in it, as `recorded_store.json` holds them.
+"""Compares calls to the platform's store, and the stored objects, with `recorded_store.json`.
 
-Objects outlive the process that wrote them, and other builds read them: methods, paths and bodies
-stay. Each call goes over a real socket, so that the file holds what the store gets. A body that is
-written is also read back, by the calls and by the watches, as the value it was written from.
+Guards against a change of methods, paths or bodies: objects outlive the process that wrote them,
+and proxies of other builds read them. Each call goes over a real socket, so that the file holds the
+request as the store receives it. Each written body is also read back, by the read calls and by the
+watches, and must give the value that it was written from.
 """
 
 import asyncio
@@ -65,36 +66,38 @@
 Address = tuple[str, int]
 
 
-class Given(NamedTuple):
-    """An answer of the store."""
+class StoreAnswer(NamedTuple):
+    """An answer of the store: status and body."""
 
     status: int
     body: bytes = b"{}"
 
 
-def object_answer(name: str, spec: bytes, status: int = 200) -> Given:
-    """An object as the store sends it, with fields that the product does not use."""
+def object_answer(name: str, spec: bytes, status: int = 200) -> StoreAnswer:
+    """Returns an object as the store sends it, including fields that the proxy does not use."""
     meta = b'{"name":%s,"revision":%d,"created":3,"finalizers":[],"deleting":false,"later":{}}' % (
         json.dumps(name).encode(),
         REVISION,
     )
-    return Given(status, b'{"meta":%s,"spec":%s,"status":null}' % (meta, spec))
+    return StoreAnswer(status, b'{"meta":%s,"spec":%s,"status":null}' % (meta, spec))
 
 
-def list_answer(*objects: Given, more: bool = False) -> Given:
+def list_answer(*objects: StoreAnswer, more: bool = False) -> StoreAnswer:
     items = b",".join(item.body for item in objects)
-    return Given(200, b'{"items":[%s],"has_more":%s,"at":9}' % (items, json.dumps(more).encode()))
+    return StoreAnswer(
+        200, b'{"items":[%s],"has_more":%s,"at":9}' % (items, json.dumps(more).encode())
+    )
 
 
 class RecordingStore:
-    """Keeps each call; answers as told, else with the object that the call holds."""
+    """Records each call; answers with the given answers, then with the object in the call."""
 
-    def __init__(self, answers: tuple[Given, ...] = ()) -> None:
+    def __init__(self, answers: tuple[StoreAnswer, ...] = ()) -> None:
         self.calls: list[dict[str, Any]] = []
         self._answers = list(answers)
 
-    def take(self, request: HTTPServerRequest) -> None:
-        """A call came."""
+    def handle(self, request: HTTPServerRequest) -> None:
+        """Records a call and answers it."""
         call: dict[str, Any] = {"method": request.method, "uri": request.uri}
         headers = {name: request.headers[name] for name in OWN_HEADERS if name in request.headers}
         if headers:
@@ -104,13 +107,13 @@
         self.calls.append(call)
         self._answer(request, self._answers.pop(0) if self._answers else self._echo(request))
 
-    def _echo(self, request: HTTPServerRequest) -> Given:
+    def _echo(self, request: HTTPServerRequest) -> StoreAnswer:
         if b'"meta":' not in request.body:
-            return Given(200, request.body)
+            return StoreAnswer(200, request.body)
         written = msgspec.json.decode(request.body, type=StoredObject)
         return object_answer(written.meta.name, bytes(written.spec))
 
-    def _answer(self, request: HTTPServerRequest, given: Given) -> None:
+    def _answer(self, request: HTTPServerRequest, given: StoreAnswer) -> None:
         assert request.connection is not None
         headers = HTTPHeaders({"Content-Length": str(len(given.body))})
         line = ResponseStartLine("HTTP/1.1", given.status, "told")
@@ -121,7 +124,7 @@
 @contextmanager
 def listening(store: RecordingStore) -> Iterator[Address]:
     socket, port = bind_unused_port(address=HOST)
-    server = HTTPServer(store.take)
+    server = HTTPServer(store.handle)
     server.add_socket(socket)
     try:
         yield HOST, port
@@ -132,8 +135,8 @@
 Act = Callable[[Address], Awaitable[Any]]
 
 
-def made(act: Act, *answers: Given) -> tuple[list[dict[str, Any]], Any]:
-    """The calls that were made, and the result."""
+def run_recorded(act: Act, *answers: StoreAnswer) -> tuple[list[dict[str, Any]], Any]:
+    """Runs `act` against a recording store; returns the recorded calls and the result."""
     store = RecordingStore(answers)
 
     async def work() -> Any:
@@ -149,7 +152,7 @@
     return ObjectStore(address, lambda method, kind: None)
 
 
-# --- what is written ------------------------------------------------------------------------------
+# --- writes ---------------------------------------------------------------------------------------
 
 LATER = StoreRevision(70_000)
 HELD_LOCK = LockRecord("front-1", "front-1/a7", False, LATER)
@@ -212,11 +215,11 @@
 
 
 class Write(NamedTuple):
-    """A change of the store, the answers to its calls, and what comes of it."""
+    """A write to the store, its expected result, and the answers to its calls."""
 
     act: Act
     result: Any
-    answers: tuple[Given, ...] = ()
+    answers: tuple[StoreAnswer, ...] = ()
 
 
 def lock_write(record: LockRecord, create: bool) -> Write:
@@ -234,16 +237,16 @@
     return Write(lambda at: QuotaShareObject(objects(at)).write(shares, create), written)
 
 
-def lease_write(lease: LeaseConfirmation, *answers: Given) -> Write:
+def lease_write(lease: LeaseConfirmation, *answers: StoreAnswer) -> Write:
     return Write(lambda at: LeaseObjects(objects(at)).confirm(lease), REVISION, answers)
 
 
-def member_write(member: ProxyMember, created: bool, *answers: Given) -> Write:
+def member_write(member: ProxyMember, created: bool, *answers: StoreAnswer) -> Write:
     return Write(lambda at: MemberObjects(objects(at)).write(member), created, answers)
 
 
 async def apply_configuration(address: Address) -> Any:
-    """The operators' file as the other half's store gets it, and what it is read back as."""
+    """Applies the operators' file to the object API; returns the object that is read back."""
     host, port = address
     item = ConfigurationObject(Metadata(resource_version="41"), OPERATORS, "attempt-1")
     return await ObjectApiClient(f"http://{host}:{port}").write(item)
@@ -262,9 +265,9 @@
     "roster with a promotion": roster_write(PROMOTED_ROSTER, False),
     "roster with a promotion that replaces nobody": roster_write(FIRST_ROSTER, False),
     "lease": lease_write(LEASE),
-    "lease that is not there": lease_write(BARE_LEASE, Given(404)),
+    "lease that is not there": lease_write(BARE_LEASE, StoreAnswer(404)),
     "lease left": Write(lambda at: LeaseObjects(objects(at)).leave(LEFT_LEASE, LATER), None),
-    "member created": member_write(MEMBER, True, Given(201)),
+    "member created": member_write(MEMBER, True, StoreAnswer(201)),
     "member that is there": member_write(
         MEMBER, False, object_answer("front-1", MEMBER_SPEC, status=409)
     ),
@@ -286,7 +289,7 @@
 @pytest.mark.parametrize("name", list(WRITES))
 def test_a_change_makes_the_recorded_calls(name: str) -> None:
     write = WRITES[name]
-    calls, result = made(write.act, *write.answers)
+    calls, result = run_recorded(write.act, *write.answers)
     assert calls == RECORDED.get(name)
     assert result == write.result
 
@@ -295,16 +298,16 @@
     assert set(RECORDED) == set(WRITES) | set(READS)
 
 
-# --- what is read ---------------------------------------------------------------------------------
+# --- reads ----------------------------------------------------------------------------------------
 
 
-def recorded_object(name: str) -> Given:
-    """The object that the store holds after a recorded change."""
+def recorded_object(name: str) -> StoreAnswer:
+    """Returns the object that the store holds after a recorded write."""
     written = msgspec.json.decode(RECORDED[name][-1]["body"], type=StoredObject)
     return object_answer(written.meta.name, bytes(written.spec))
 
 
-def stored(answer: Given) -> StoredObject:
+def stored(answer: StoreAnswer) -> StoredObject:
     return msgspec.json.decode(answer.body, type=StoredObject)
 
 
@@ -341,33 +344,33 @@
     assert translation.item(stored(recorded_object(name)), era=0) == value
 
 
-def lease_listing() -> tuple[Given, ...]:
-    """Two pages of recorded leases."""
+def lease_listing() -> tuple[StoreAnswer, ...]:
+    """Returns two pages of recorded leases."""
     return (
         list_answer(recorded_object("lease"), more=True),
         list_answer(recorded_object("lease left")),
     )
 
 
-def unfollowed() -> None:
-    """Nothing is done as an answer arrives."""
+def ignore_answer() -> None:
+    """Callback for an arriving answer that does nothing."""
 
 
 def listed(translation: Any) -> Act:
-    return lambda at: WatchedKind(objects(at), translation).list(SECONDS, unfollowed)
+    return lambda at: WatchedKind(objects(at), translation).list(SECONDS, ignore_answer)
 
 
 def watched(translation: Any) -> Act:
     return lambda at: WatchedKind(objects(at), translation).watch(
-        StoreRevision(7), 1.5, SECONDS, unfollowed
+        StoreRevision(7), 1.5, SECONDS, ignore_answer
     )
 
 
-def event_answer(*events: tuple[Given, bool]) -> Given:
-    told = b",".join(
+def event_answer(*events: tuple[StoreAnswer, bool]) -> StoreAnswer:
+    encoded_events = b",".join(
         b'{"object":%s,"gone":%s}' % (item.body, json.dumps(gone).encode()) for item, gone in events
     )
-    return Given(200, b'{"events":[%s],"at":11}' % told)
+    return StoreAnswer(200, b'{"events":[%s],"at":11}' % encoded_events)
 
 
 NO_ITEMS = list_answer()
@@ -375,10 +378,10 @@
 
 
 class Read(NamedTuple):
-    """A call that changes nothing, the answers to it, and what they are read as."""
+    """A read from the store, the answers to its calls, and the expected result."""
 
     act: Act
-    answers: Callable[[], tuple[Given, ...]]
+    answers: Callable[[], tuple[StoreAnswer, ...]]
     result: Any
 
 
@@ -394,7 +397,7 @@
     ),
     "read no lock": Read(
         lambda at: PromotionLockObject(objects(at)).read(),
-        lambda: (Given(404),),
+        lambda: (StoreAnswer(404),),
         LockRecord.absent(0),
     ),
     "read the leases": Read(
@@ -422,12 +425,12 @@
 @pytest.mark.parametrize("name", list(READS))
 def test_a_read_makes_the_recorded_calls(name: str) -> None:
     read = READS[name]
-    calls, result = made(read.act, *read.answers())
+    calls, result = run_recorded(read.act, *read.answers())
     assert calls == RECORDED.get(name)
     assert result == read.result
 
 
-# --- objects of which fields are missing, and those that others write -----------------------------
+# --- objects with missing fields, and objects that other programs write ---------------------------
 
 FULL_INSTANCE = (
     b'{"service":"svc1","address":"10.0.0.3:5432","zone":"z1","slots":3,"state":"draining",'
@@ -445,8 +448,8 @@
 )
 
 
-def by_default(name: str, consistency: ReadConsistency) -> DatabaseRoute:
-    """A database of which the configuration tells no times."""
+def default_route(name: str, consistency: ReadConsistency) -> DatabaseRoute:
+    """Returns a database route with the default time limits."""
     return DatabaseRoute(name, "svc1", consistency, 1.0, 1.0, 0.25, 0)
 
 
@@ -454,14 +457,14 @@
     9,
     {
         "latest": DatabaseRoute("latest", "svc1", ReadConsistency.LATEST, 1.5, 0.75, 0.125, 2),
-        "bounded": by_default("bounded", ReadConsistency.BOUNDED),
-        "own": by_default("own", ReadConsistency.SESSION),
-        "unknown": by_default("unknown", ReadConsistency.LATEST),
+        "bounded": default_route("bounded", ReadConsistency.BOUNDED),
+        "own": default_route("own", ReadConsistency.SESSION),
+        "unknown": default_route("unknown", ReadConsistency.LATEST),
     },
     {"svc1": PromotedGroupSettings("svc1", 34, 2), "svc2": PromotedGroupSettings("svc2", 20, 1)},
     60.5,
 )
-FOREIGN: dict[str, tuple[Any, str, bytes, Any]] = {
+FOREIGN_OBJECTS: dict[str, tuple[Any, str, bytes, Any]] = {
     "lock without fields": (
         LockTranslation(),
         "promotions",
@@ -469,7 +472,7 @@
         LockRecord("", "", True, REVISION),
     ),
     "roster without fields": (RosterTranslation(), "svc1", b"{}", at_revision(NEW_ROSTER)),
-    "roster whose promotion tells nobody replaced": (
+    "roster whose promotion names no replaced instance": (
         RosterTranslation(),
         "svc1",
         b'{"members":["i-0"],"last_promotion":{"instance":"i-0","term":1,"start_term":0,'
@@ -511,13 +514,13 @@
 }
 
 
-@pytest.mark.parametrize("name", list(FOREIGN))
+@pytest.mark.parametrize("name", list(FOREIGN_OBJECTS))
 def test_an_object_that_another_wrote_is_read(name: str) -> None:
-    translation, object_name, spec, value = FOREIGN[name]
+    translation, object_name, spec, value = FOREIGN_OBJECTS[name]
     assert translation.item(stored(object_answer(object_name, spec)), era=0) == value
 
 
 def test_a_lease_without_fields_is_read() -> None:
     answer = list_answer(object_answer("front-1", b"{}"))
-    _, found = made(lambda at: LeaseObjects(objects(at)).confirmations(), answer)
+    _, found = run_recorded(lambda at: LeaseObjects(objects(at)).confirmations(), answer)
     assert found == Listing((BARE_LEASE,), 9)
--- a/tests/shared/test_tree.py
+++ b/tests/shared/test_tree.py
@@ -1,4 +1,4 @@
-"""The two proxies know nothing of each other, and the core of each knows no input or output."""
+"""Import rules: the two proxies do not import each other, and their cores do no input or output."""
 
 import ast
 from pathlib import Path
--- a/tests/support/__init__.py
+++ b/tests/support/__init__.py
@@ -1,1 +1,1 @@
-"""Scaffolding that several test modules use."""
+"""Helpers that several test modules share."""
--- a/tests/support/known_red.py
+++ b/tests/support/known_red.py
@@ -1,6 +1,7 @@
-"""The list of known failures, KNOWN-RED.txt: the run passes over just these, and prints them.
+"""Reads KNOWN-RED.txt, the list of known test failures, and marks the listed tests as xfail.
 
-A test of the list that passes fails the run, so that a mended one is taken off the list.
+The marker is strict: a listed test that passes fails the run, so that it is taken off the list once
+it is fixed.
 """
 
 from dataclasses import dataclass
@@ -14,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KnownRed:
-    """One line of the list."""
+    """One line of the list: the test's node id, the cause of the failure and the issue."""
 
     test: str
     cause: str
@@ -22,7 +23,7 @@
 
 
 def read(text):
-    """The lines of the list; raises pytest.UsageError where it is not as described."""
+    """Returns the entries of the list; raises pytest.UsageError if it is malformed or too long."""
     lines = [line for line in text.splitlines() if line.strip() and not line.startswith("#")]
     if len(lines) > MOST:
         raise pytest.UsageError(f"the list of known failures has over {MOST} lines")
@@ -33,7 +34,7 @@
 
 
 def mark(items, known):
-    """Expect the listed tests to fail; where a whole file is collected, each must be there."""
+    """Marks the collected items that are listed as expected to fail."""
     by_test = {red.test: red for red in known}
     for item in items:
         red = by_test.get(item.nodeid)
--- a/tests/support/platform_system.py
+++ b/tests/support/platform_system.py
@@ -1,4 +1,4 @@
-"""One proxy on real sockets between a caller and stand-ins: instances, store and promotions.
+"""Runs one proxy on real sockets between a caller and stand-ins for the instances and the store.
 
 Owns the stand-ins and their ports on loopback, and starts and stops the proxy with them.
 """
@@ -22,7 +22,7 @@
 
 
 class LineClient:
-    """A caller."""
+    """A caller's connection that speaks the line protocol."""
 
     @classmethod
     async def open(cls, port, database="latest", api_key="tests"):
@@ -53,13 +53,13 @@
 
 
 class PlatformSystem:
-    """The stand-ins, and what a proxy is told of them."""
+    """The stand-ins, and the settings and store objects that describe them to the proxy."""
 
     def __init__(
         self, folder, idle_ms=60_000, timeout_ms=5_000, bounds=None, born=None, tenants=None
     ):
         self.born = born
-        # By name: API keys, operations a second, and at once; None where callers need no key.
+        # Maps a tenant to its API keys, operations per second and burst; None: callers need no key.
         self.tenants = tenants
         self.public = ()
         self.bounds = bounds or {}
@@ -104,7 +104,7 @@
         self.settings_path.write_text(json.dumps(settings))
 
     def second_settings(self):
-        """The settings of another proxy."""
+        """Writes the settings file of a second proxy and returns its path."""
         settings = json.loads(self.settings_path.read_text())
         settings["node_name"] = "front-2"
         names = ("front", "ready", "control")
@@ -179,9 +179,9 @@
         ]
 
     def ran_for(self, request_id):
-        """The tenant that the instances were told of where a request ran; None: it did not."""
-        told = [instance.ran_for.get(request_id) for instance in self.group.instances.values()]
-        return next((tenant for tenant in told if tenant is not None), None)
+        """Returns the tenant that an instance received with a request; None if none ran it."""
+        received = [instance.ran_for.get(request_id) for instance in self.group.instances.values()]
+        return next((tenant for tenant in received if tenant is not None), None)
 
     async def status_of(self, path, port):
         return await http_call(HttpRequest((HOST, port), "GET", path), 2.0)
--- a/tests/support/relay.py
+++ b/tests/support/relay.py
@@ -1,4 +1,4 @@
-"""A relay between a client and a server on loopback, whose connections may fall silent."""
+"""A TCP relay on loopback whose connections can be silenced: they accept bytes and deliver none."""
 
 import asyncio
 
@@ -6,11 +6,11 @@
 
 
 class Relay:
-    """Passes bytes both ways; `silence` has its open connections take all and deliver nothing."""
+    """Forwards bytes both ways; `silence` makes open connections accept bytes and deliver none."""
 
     def __init__(self, port):
         self._port = port
-        self._heard = set()
+        self._delivering = set()
         self._tasks = set()
         self.opened = 0
 
@@ -20,13 +20,13 @@
         return self.port
 
     def silence(self):
-        self._heard.clear()
+        self._delivering.clear()
 
     async def _serve(self, reader, writer):
         self.opened += 1
         far_reader, far_writer = await asyncio.open_connection(HOST, self._port)
         number = self.opened
-        self._heard.add(number)
+        self._delivering.add(number)
         await asyncio.gather(
             self._pass(number, reader, far_writer), self._pass(number, far_reader, writer)
         )
@@ -34,11 +34,11 @@
     async def _pass(self, number, reader, writer):
         try:
             while data := await reader.read(65536):
-                if number in self._heard:
+                if number in self._delivering:
                     writer.write(data)
         except (ConnectionError, asyncio.CancelledError):
-            pass  # the test is over
-        if number in self._heard:
+            pass  # the test has ended
+        if number in self._delivering:
             writer.close()
 
     def stop(self):
--- a/tests/support/scripted_days.py
+++ b/tests/support/scripted_days.py
@@ -1,6 +1,6 @@
-"""Scripted days of promoted groups on virtual time: faults at times and at logged events.
+"""Plays scripted runs of promoted groups on virtual time: faults at set times or at logged events.
 
-Relies on the simulated system; owns the handler that calls back at events while a day is played.
+The group, the store and the network are simulated; the proxies run their real code.
 """
 
 import asyncio
@@ -12,7 +12,7 @@
 
 
 class EventHook(logging.Handler):
-    """Calls back at each event that the proxies log; what the callback raises is kept."""
+    """Calls back at each event that the proxies log, and keeps the errors that callbacks raise."""
 
     def __init__(self):
         super().__init__()
@@ -22,17 +22,20 @@
     def emit(self, record):
         try:
             self.on_event(record)
-        except Exception as error:  # raised here, it would end a proxy's task instead of the test
+        except Exception as error:  # if raised here, it would end a proxy's task, not the test
             self.raised.append(error)
 
 
 def play(seed, plan, seconds, instances=3, on_event=None, callers_a_node=2):
-    """Run a system by a plan of times and faults; `on_event` gets it and each logged event."""
+    """Runs a system with a plan of (time, fault) and returns it.
+
+    `on_event` is called with the system and each logged record.
+    """
 
     def inflict(fault, system):
         try:
             fault(system)
-        except Exception as error:  # the loop would only log it
+        except Exception as error:  # the event loop would only log it
             hook.raised.append(error)
 
     async def work():
@@ -45,7 +48,7 @@
         await system.run(seconds, callers_a_node)
         return system
 
-    random.seed(seed)  # of this, the proxies take their jitter
+    random.seed(seed)  # the proxies draw their jitter from this generator
     logger = logging.getLogger("orchidwind")
     level, hook = logger.level, EventHook()
     logger.setLevel(logging.INFO)
@@ -60,32 +63,32 @@
 
 
 def crash_and_leave(system, name, entry_outlives=3.6):
-    """An instance ends without a word; its entry goes when three heartbeats are missing."""
+    """Crashes an instance; its directory entry is removed after three missed heartbeats."""
     system.group.instances[name].crash()
     asyncio.get_running_loop().call_later(entry_outlives, system.world.store.drop_entry, name)
 
 
 def deafen(system, name):
-    """An instance receives of no other; the proxies reach it."""
+    """Cuts an instance off from the log of all others; the proxies still reach it."""
     for other in list(system.group.instances):
         if other != name:
             system.world.network.cut(other, name, one_way=True)
 
 
 def cut_proxies(system, instance, proxies=NODES):
-    """These proxies and an instance do not reach each other; the other instances reach it."""
+    """Cuts the network between an instance and these proxies; other instances still reach it."""
     for proxy in proxies:
         system.world.network.cut(proxy, instance)
 
 
 def drain(system, name):
-    """An instance tells that it will end."""
+    """Marks an instance as draining and announces it in the directory."""
     system.group.instances[name].draining = True
     system.group.announce(system.group.instances[name])
 
 
 def once(event, act):
-    """A hook that acts on the first event of a name."""
+    """Returns an event hook that acts on the first event with this name."""
     done = []
 
     def on_event(system, record):
--- a/tests/support/virtual_proxies.py
+++ b/tests/support/virtual_proxies.py
@@ -1,4 +1,4 @@
-"""Six proxies before one simulated group on virtual time, and an operator who changes things."""
+"""Runs six proxies of one simulated group on virtual time, and applies configurations."""
 
 import asyncio
 
@@ -11,7 +11,7 @@
 
 
 def with_proxies(scenario, proxies=PROXIES, seed=1):
-    """Play a scenario on a system that has served for 3 s."""
+    """Runs a scenario on a system whose proxies are prepared and have run for 3 s."""
 
     async def work():
         system = PromotedSystem(seed, proxies=proxies)
@@ -24,12 +24,12 @@
 
 
 def apply_configuration(system):
-    """An operator's change; returns its version."""
+    """Stores the configuration under the next version, as an operator would, and returns it."""
     store = system.world.store
     store.put_configuration(replace(store.configuration, version=store.configuration.version + 1))
     return store.configuration.version
 
 
 def versions(system):
-    """The version that each proxy has in force."""
+    """Returns the configuration version in force at each proxy, by proxy name."""
     return {name: node.configuration.version for name, node in system.nodes.items()}
