--- a/tests/promoted/soak/test_soak.py
+++ b/tests/promoted/soak/test_soak.py
@@ -89,7 +89,7 @@
     answer = ProbeAnswer("proxy-0", version, sent_at, sent_at, served)
     found = broken_promise(system, answer, newest_seen)
     assert (broken in found) if broken else found == ""
-    system.disturbed("store", 80.0, 99.8)
+    system.record_disturbance("store", 80.0, 99.8)
     assert broken_promise(system, answer, 0) == "", "less than 4 s after a disturbance"
 
 
--- a/tests/promoted/soak/test_soak_instances.py
+++ b/tests/promoted/soak/test_soak_instances.py
@@ -339,7 +339,7 @@
         group.on_entry = follow
         await ask(primary, "WRITE t0 1")
         await until(lambda: holds_entries(old, 1))
-        await group.release(old, passes_on=True)
+        await group.release(old, hand_over_log=True)
         new, successor = group.instances[f"{SERVICE}-i3"], group.instances[f"{SERVICE}-i4"]
         assert 0.005 <= entered[new.name] <= 0.03, "its directory entry follows"
         assert (old.ended, successor.port) == (True, old.port)
@@ -489,7 +489,7 @@
 
 def test_an_old_read_is_stale_unless_what_it_lacks_was_lost():
     record, history = promotion_without_commit(acknowledged_at=2.2)
-    record.old_reads = [ShownNumber("a", "latest", "t0", 1, before=9.0, own=0)]
+    record.old_reads = [ReadObservation("a", "latest", "t0", 1, before=9.0, own=0)]
     check_group(record, history)
     assert not any(item.startswith("STALE") for item in record.broken)
     record.old_reads = [ReadObservation("a", "latest", "t0", 0, before=9.0, own=0)]
--- a/tests/promoted/test_store_returns.py
+++ b/tests/promoted/test_store_returns.py
@@ -107,7 +107,7 @@
 
 
 def restore_store(system, copy):
-    system.world.store.come_back_from(copy, lambda: system.world.random.random() * REWRITE_SECONDS)
+    system.world.store.restore_from(copy, lambda: system.world.random.random() * REWRITE_SECONDS)
 
 
 def refuse_one(system):
