--- a/src/orchidwind/elected/core/commit_barrier.py
+++ b/src/orchidwind/elected/core/commit_barrier.py
@@ -2,9 +2,9 @@
 
 A commit on instance P in term t that ends at log position p is confirmed when status reports
 requested after the commit show that P is still the primary of term t, that a majority including P
-holds p of term t's history, and that no instance knows a higher term. The group elects the instance
-with the most advanced log of a majority, so every later primary contains the commit. The outcome of
-an unconfirmed commit is unknown; it is never reported as failed.
+holds the log of term t up to p, and that no instance knows a higher term. The group elects the
+instance that has the most advanced log among a majority, so the log of every later primary contains
+the commit. The outcome of an unconfirmed commit is unknown; it is never reported as failed.
 """
 
 from __future__ import annotations
--- a/src/orchidwind/promoted/core/commit_acknowledgement.py
+++ b/src/orchidwind/promoted/core/commit_acknowledgement.py
@@ -10,10 +10,10 @@
    which instances may have confirmed commits.
 2. `decide_by_successor`: a change of primary is over, and the log with which the new primary began
    has the commit. If that log lacks it, the commit is lost for good.
-3. `decide_by_replicas`: as many listed replicas as must receive a commit, at least one, hold it
-   and are not about to leave, and all listed instances (under the lease: those that answer) answer
-   that they are neither fenced nor know of a later term. A proxy that fences them afterwards finds
-   the commit there.
+3. `decide_by_replicas`: enough listed replicas hold the commit and are not about to leave, namely
+   as many as must receive a commit, and at least one. In addition, all listed instances (under the
+   lease: only those that answer) answer that they are not fenced and know of no later term. A proxy
+   that fences them afterwards finds the commit there.
 
 None of the rules acknowledges a commit if the roster records a later promotion that may have taken
 effect without this proxy seeing it. While nothing is proven, the driver asks again after
--- a/src/orchidwind/promoted/core/confirming_instances.py
+++ b/src/orchidwind/promoted/core/confirming_instances.py
@@ -4,20 +4,20 @@
 in the store names them for proxies that start later. Commits of earlier terms are in the log of the
 present primary, else it would not lead.
 
-The rule: an instance counts while it is listed, and also afterwards, as it goes on serving when its
-entry has gone, and its entry also goes when it is only cut off from the directory. It no longer
-counts
-
-- when another instance is listed at its address, which then has its log. This does not apply if the
-  same instance was restarted and has lost its log;
-- when neither this proxy nor the directory has heard of it since the present term began. The
-  beginning is bounded by the last proof that the primary of the previous term still led. Such an
-  instance is *absent*;
-- `MAY_CONFIRM_SECONDS` after its entry went, if enough others hold the primary's log of that time,
-  or the present term began later.
+The rule: an instance counts while the directory lists it, and also after its entry has gone: it
+goes on serving without an entry, and it loses its entry also when it is only cut off from the
+directory. It no longer counts
+
+- when another instance is listed at its address, because that one then has its log. This does not
+  apply if the same instance was restarted and has lost its log;
+- when neither this proxy nor the directory has heard of it since the earliest time at which the
+  present term can have begun. That time is derived from the last proof that the primary of the
+  previous term still led. Such an instance is *absent*;
+- `MAY_CONFIRM_SECONDS` after its entry went, if by then the present term had not yet begun, or if
+  enough other instances hold the primary's log as it was at that time.
 
 Owns: the names that only the roster has, and those that were dropped. Relies on: the instances'
-views as `topology` keeps them. Times are in seconds of the steady clock.
+views as `topology` keeps them. Times are in seconds of the monotonic clock.
 """
 
 from __future__ import annotations
--- a/src/orchidwind/promoted/core/failover.py
+++ b/src/orchidwind/promoted/core/failover.py
@@ -9,23 +9,23 @@
    under the holder's name, takes the lock over within the time that the promotion needs to take
    effect. A promotion that takes effect even later is handled by step 6.
 2. A primary that answers is demoted, so that it accepts no more commits, unless a successor that
-   this proxy does not reach may lead. Any log that reaches as far as the demoted one has every
-   acknowledged commit, whichever replicas had confirmed them. If no other log reaches as far, the
-   demoted primary itself can lead again.
+   this proxy does not reach may lead. Any log that reaches as far as the log of the demoted primary
+   contains every acknowledged commit, whichever replicas had confirmed them. If no other log
+   reaches as far, the demoted primary itself can lead again.
 3. The other members are fenced with a term above every known one: they receive nothing more from an
    old primary that does not answer.
 4. The proxy waits until all leadership leases have expired or were confirmed to be dropped
    (`leadership_lease`). From then on a proxy acknowledges a commit only if enough listed replicas
-   hold it and all listed instances answer that they are not fenced. So a commit that is confirmed
-   by an instance that is not counted here (it joined, lost its fence in a restart, or was unfenced
-   by a late call) is acknowledged by no proxy that sees one of the fences.
+   hold it and all listed instances answer that they are not fenced. An instance that is not
+   counted here (it joined, lost its fence in a restart, or was unfenced by a late call) may still
+   confirm a commit, but no proxy that sees one of the fences acknowledges that commit.
 5. Without a demoted primary's log the fenced members are counted. An acknowledged commit is on its
-   primary and `s` other instances, so among all members but `s` at least one has it, and the
-   instance with the longest log becomes primary. This holds only if every instance that has
-   confirmed a commit is a member. So the members are read again at this point: no more commits are
-   acknowledged, and an instance that has begun to confirm has had the time to be listed. A log
-   counts only if it reaches the position at which the newest term began: commits of earlier terms
-   are in the log of that term's primary, and in those that have caught up with it.
+   primary and `s` other instances. So if all members but `s` are counted, at least one of them has
+   the commit, and the one with the longest log becomes primary. This holds only if every instance
+   that has confirmed a commit is a member. So the members are read again at this point, when no
+   more commits are acknowledged and an instance that has begun to confirm has had the time to be
+   listed. A log counts only if it reaches the position at which the newest term began: commits of
+   earlier terms are in the log of that term's primary, and in the logs that have caught up with it.
 6. The promotion is recorded in the store with the end of the chosen log. Until the chosen instance
    has answered that it does not lead, or is gone, no other instance counts as primary. A restart
    drops a fence, so all instances are asked for their fences again right before the call.
--- a/src/orchidwind/promoted/core/freshness.py
+++ b/src/orchidwind/promoted/core/freshness.py
@@ -3,13 +3,13 @@
 For `promoted.views`, whose drivers hold the calls and timers and ask here. Owns the times of a
 followed view and every decision that depends on them: when other proxies are asked, when the store
 is read again, when a view is too old, how long to pause after a failed call. Times are in seconds
-of one steady clock.
+of one monotonic clock.
 
 A proxy follows the configuration, the directory and other data that the store holds. A source that
 is silent looks like one without changes, so each view has an age: the time since it was last known
-to be current. A promise that names a time bounds that age. Every time that keeps the age below the
-bound is a share of the bound. In the worst case, a source that is reachable again is read after the
-following share of the bound, and a call of the store takes some milliseconds:
+to be current. A promise that names a time bounds that age. Every interval that serves to keep the
+age below the bound is a share of the bound. In the worst case, a source that is reachable again is
+read after the following share of the bound; the call of the store then takes some milliseconds:
 
     watch_wait + answer_slack       0.40    a watch whose answer was lost is given up
     or read_at_age + hedge_after    0.80    a view is no longer confirmed by other proxies
@@ -25,8 +25,8 @@
 from msgspec import Struct
 
 # Shares of the bound, as described above. Two waits together stay below the age at which the store
-# is read: an answer that reports a change may have been under way since its watch was sent, so only
-# the next answer confirms the view.
+# is read: an answer that reports a change may have been in transit since its watch was sent, so
+# only the next answer confirms the view.
 _WATCH_WAIT_SHARE = 0.25
 _ANSWER_SLACK_SHARE = 0.15
 _ASK_SHARE = 0.15
@@ -227,7 +227,7 @@
 
         An answer without changes was made at the end of the wait. An answer that reports changes,
         or that came before the end of the wait, may have been made at any time since the watch was
-        sent, and have been under way for long.
+        sent, and have been in transit for a long time.
         """
         waited = answered_at - sent_at >= wait and not told_changes
         return sent_at + wait if waited else sent_at
--- a/src/orchidwind/promoted/core/group_state.py
+++ b/src/orchidwind/promoted/core/group_state.py
@@ -28,7 +28,7 @@
 class GroupState:
     """The state that the flows of a group share.
 
-    `now` reads the steady clock, in seconds. `on_change` is called when waiting requests, or the
+    `now` reads the monotonic clock, in seconds. `on_change` is called when waiting requests, or the
     supervisor of the group, have something new to look at.
     """
 
--- a/src/orchidwind/promoted/core/instance_silence.py
+++ b/src/orchidwind/promoted/core/instance_silence.py
@@ -15,7 +15,8 @@
 4. A connection that is held by a transaction while its caller is idle is probed once it has
    delivered nothing for HELD_REST_PROBE_SECONDS.
 
-Owns: the times of these steps. Relies on: callers that pass times in seconds of one steady clock.
+Owns: the times of these steps. Relies on: callers that pass times in seconds of one
+monotonic clock.
 docs/SILENCE.md, "Connections (promoted groups)", has the effects.
 """
 
--- a/src/orchidwind/promoted/core/instance_view.py
+++ b/src/orchidwind/promoted/core/instance_view.py
@@ -2,7 +2,7 @@
 
 Tells whether new requests may be sent to an instance now, by its directory entry and its answers.
 Owns: the entry, the last status, and the pauses after refusals. Relies on: `topology`, which passes
-on what the directory and the instance report. Times are in seconds of the steady clock.
+on what the directory and the instance report. Times are in seconds of the monotonic clock.
 """
 
 from __future__ import annotations
--- a/src/orchidwind/promoted/core/leadership_lease.py
+++ b/src/orchidwind/promoted/core/leadership_lease.py
@@ -14,7 +14,8 @@
 number of machines may be lost at once).
 
 Owns: until when one proxy is covered, and the newest revision of the lock that it saw. Relies on:
-`promotion_lock`, whose revision rises with every change, and steady clocks of about the same rate.
+`promotion_lock`, whose revision rises with every change, and monotonic clocks of about the same
+rate.
 """
 
 from __future__ import annotations
@@ -30,8 +31,8 @@
 LEASE_SECONDS = 1.0
 # A lease is renewed this many seconds before it expires: the time for a few calls of the store.
 RENEWAL_MARGIN_SECONDS = 0.25
-# Seconds by which the steady clocks of two machines may differ over a lease: a tenth of the lease,
-# far beyond any clock's drift.
+# Seconds by which the monotonic clocks of two machines may differ over a lease: a tenth of the
+# lease, far beyond any clock's drift.
 _CLOCK_RATE_MARGIN_SECONDS = 0.1
 # Seconds for which a change of primary waits, from when it holds the lock: all leases have expired
 # by then.
@@ -80,7 +81,7 @@
 
 
 class LeadershipLease:
-    """The leadership lease of one proxy. Times are in seconds of its steady clock.
+    """The leadership lease of one proxy. Times are in seconds of its monotonic clock.
 
     A reading counts only if it was sent after the proxy was registered: a proxy that has taken the
     lock since then waits for this one. The registration may be lost when the store is restored from
--- a/src/orchidwind/promoted/core/newest_term.py
+++ b/src/orchidwind/promoted/core/newest_term.py
@@ -3,7 +3,7 @@
 A primary of an older term no longer counts as primary, and an instance that has been silent since
 before the newest term began cannot have confirmed commits of it. Owns: the term and the earliest
 time at which it can have begun. Relies on: `proven_floors` for when the leadership of the previous
-term was last proven. Times are in seconds of the steady clock.
+term was last proven. Times are in seconds of the monotonic clock.
 """
 
 from __future__ import annotations
--- a/src/orchidwind/promoted/core/promotion_lock.py
+++ b/src/orchidwind/promoted/core/promotion_lock.py
@@ -4,18 +4,19 @@
 the fencing token: it rises with every change, so also with every holder, and it keeps rising when
 the store is restored from an older copy (`store_revision`). A holder uses the lock for a fixed time
 after it *sent* the call that took it. Other proxies take the lock over only after they have seen it
-unchanged for longer than that, by their own steady clocks; the difference covers a promotion call
-that is still under way. The same wait applies to the holder itself, and to a process that was
-restarted under its name, once a promotion was recorded under this hold: the call may still take
-effect, and a proxy that found the old primary leading would unfence the replicas for it.
+unchanged for longer than that, by their own monotonic clocks; the difference covers a promotion
+call that is still in progress. Once a promotion was recorded while the lock was held, the same wait
+also applies to the holder itself and to a process that was restarted under its name: the promotion
+call may still take effect, and a proxy that found the old primary leading would unfence the
+replicas for it.
 
 Each era of the store has a lock of its own. A restore of the store may lose the record of a holder
 that still acts, and a late call by that holder could hit a record that was given the same revision
-again. So the lock of a later era does not exist at first, which counts as if an unknown proxy had
-taken it when the era was first seen: it is created once all rights from earlier eras have expired.
+again. So the lock of a later era does not exist at first. It is treated as if an unknown proxy had
+taken it when the era was first seen, and is created once all rights from earlier eras have expired.
 
 Owns: since when the lock was seen at its revision (`LockObserver`). Relies on: a store whose
-compare-and-put gives each change a higher revision. Times are in seconds of the steady clock.
+compare-and-put gives each change a higher revision. Times are in seconds of the monotonic clock.
 """
 
 from __future__ import annotations
@@ -30,8 +31,8 @@
 # Seconds for which a holder uses the lock, from the sending of the call that took it. The wait for
 # leases and twelve attempts to find a candidate (`failover`) fit in.
 HOLD_SECONDS = 3.0
-# Seconds for which a promotion call may still be under way when its sender's holding time is over:
-# the limit of the call, and some tenths of a second to take effect.
+# Seconds for which a promotion call may still be in progress when its sender's holding time is
+# over: the limit of the call, and some tenths of a second to take effect.
 _LATE_PROMOTION_SECONDS = 1.3
 # Seconds after which other proxies take over a lock that has not changed.
 TAKE_OVER_SECONDS = HOLD_SECONDS + _LATE_PROMOTION_SECONDS
@@ -40,7 +41,7 @@
 CALL_MARGIN_SECONDS = 0.2
 # Seconds after its own promotion call for which a proxy leaves the lock to others if another proxy
 # has promoted since: the other one may hold the lock for that long, and half a second is for
-# messages that are under way.
+# messages in transit.
 ALTERNATION_SECONDS = HOLD_SECONDS + 0.5
 # How often, and at which interval in seconds, the lock is read back if its write was not answered:
 # 0.9 s and the time of the calls. A lock that is known to be held only later has hardly any time
@@ -75,7 +76,7 @@
 
 
 class HeldLock(Struct, frozen=True):
-    """The lock as held by this proxy, until `valid_until` of its steady clock."""
+    """The lock as held by this proxy, until `valid_until` of its monotonic clock."""
 
     token: StoreRevision
     valid_until: float
--- a/src/orchidwind/promoted/core/proven_floors.py
+++ b/src/orchidwind/promoted/core/proven_floors.py
@@ -7,7 +7,7 @@
 primary, or `leadership_proof` shows it.
 
 Owns: samples of the end of the primary's log, and when its leadership was last proven. Relies on:
-callers that add only proven positions. Times are in seconds of the steady clock.
+callers that add only proven positions. Times are in seconds of the monotonic clock.
 """
 
 from __future__ import annotations
--- a/src/orchidwind/promoted/core/supervision.py
+++ b/src/orchidwind/promoted/core/supervision.py
@@ -8,7 +8,7 @@
 
 Owns: when each instance was asked, and until when no change is tried. Relies on: a driver that
 sends the queries as decided, makes one change at a time, and reports its end. Times are in seconds
-of the steady clock.
+of the monotonic clock.
 """
 
 from __future__ import annotations
--- a/src/orchidwind/promoted/core/topology.py
+++ b/src/orchidwind/promoted/core/topology.py
@@ -7,7 +7,7 @@
 Owns: the view of each instance (`instance_view`), the newest term (`newest_term`), the proven
 floors (`proven_floors`), the instances that may have confirmed commits (`confirming_instances`) and
 the last promotion in the roster. Relies on: a driver that passes on each entry, status, answer and
-failure with its time, in seconds of the steady clock.
+failure with its time, in seconds of the monotonic clock.
 """
 
 from __future__ import annotations
--- a/src/orchidwind/promoted/peers/long_sends.py
+++ b/src/orchidwind/promoted/peers/long_sends.py
@@ -1,7 +1,7 @@
 """Sends the long contents of views one at a time.
 
 For: `served_link`. Owns one queue for all links of a proxy. Sent concurrently, several long
-contents would share the bandwidth, and none would be complete before its asker's time limit.
+contents would share the bandwidth, and none would be complete before its requester's time limit.
 """
 
 from __future__ import annotations
@@ -10,8 +10,9 @@
 from collections.abc import Awaitable, Callable
 
 # How many long contents may be queued or being sent. A configuration of 2,855 databases takes 0.12
-# s of a link of 10 Mbit/s, 1.5 s for 13 askers (docs/DECISIONS.md, "Long contents of a view come
-# from the store"); in a longer queue the last ones would arrive after their askers' time limit.
+# s of a link of 10 Mbit/s, 1.5 s for 13 requesters (docs/DECISIONS.md, "Long contents of a view
+# come from the store"); in a longer queue the last ones would arrive after their requesters' time
+# limit.
 MAX_QUEUED_LONG_SENDS = 4
 
 
@@ -24,7 +25,7 @@
 
     @property
     def full(self) -> bool:
-        """Whether one more content would be sent after its asker's time limit."""
+        """Whether one more content would be sent after its requester's time limit."""
         return self._waiting >= MAX_QUEUED_LONG_SENDS
 
     async def send(self, work: Callable[[], Awaitable[None]]) -> None:
--- a/src/orchidwind/promoted/peers/silence_watch.py
+++ b/src/orchidwind/promoted/peers/silence_watch.py
@@ -18,7 +18,7 @@
 class WatchedLink(Struct, frozen=True):
     """The functions of a link that the watch calls.
 
-    `last_byte_at`: when bytes were last received, in seconds of the steady clock; None: not
+    `last_byte_at`: when bytes were last received, in seconds of the monotonic clock; None: not
     connected. `probe` sends a probe. `give_up` drops the connection; its argument is for how many
     seconds the link was silent.
     """
--- a/src/orchidwind/promoted/quotas/quota_service.py
+++ b/src/orchidwind/promoted/quotas/quota_service.py
@@ -62,7 +62,7 @@
     """The state of borrowing tokens for one tenant.
 
     `waiting` operations need a token each. `task` asks other proxies for tokens; it is None while
-    no request is under way. Other proxies are not asked again before the time `not_before`.
+    no request is in progress. Other proxies are not asked again before the time `not_before`.
     """
 
     waiting: int = 0
@@ -192,5 +192,5 @@
             return 0.0
 
     def close(self) -> None:
-        """Cancel the requests for tokens that are under way."""
+        """Cancel the requests for tokens that are in progress."""
         self._tasks.cancel()
--- a/src/orchidwind/promoted/views/hedged_call.py
+++ b/src/orchidwind/promoted/views/hedged_call.py
@@ -21,7 +21,7 @@
 
 
 class Arrival:
-    """Records when bytes of an answer last arrived, in seconds of the steady clock."""
+    """Records when bytes of an answer last arrived, in seconds of the monotonic clock."""
 
     def __init__(self) -> None:
         self.at = float("-inf")
--- a/src/orchidwind/promoted/views/view_reporter.py
+++ b/src/orchidwind/promoted/views/view_reporter.py
@@ -82,7 +82,7 @@
         }
 
     def report(self, query: ViewQuery) -> ViewReport:
-        """Answer a query: report revision and age, and the content where the asker needs it."""
+        """Answer a query: report revision and age, and the content where the requester needs it."""
         asked = StoreRevision(query.revision)
         if asked != NOTHING_HELD:
             self._held.store_era.saw(asked.era, "another proxy")
