--- a/src/orchidwind_bench/__init__.py
+++ b/src/orchidwind_bench/__init__.py
@@ -1,1 +1,1 @@
-"""Simulator, soak, load and experiment tool."""
+"""Simulation, soak tests, load tests and experiments for the proxy."""
--- a/src/orchidwind_bench/main.py
+++ b/src/orchidwind_bench/main.py
@@ -1,6 +1,6 @@
-"""`orchidwind-bench`: demonstration, experiments, soak, exploration and load on this machine.
+"""`orchidwind-bench`: demo, experiments, soak, exploration and load tests on this machine.
 
-Owns the commands and their exit codes; `printing` has what they print.
+Defines the commands and their exit codes; the module `printing` prints their reports.
 """
 
 from __future__ import annotations
@@ -57,12 +57,12 @@
     "day",
 ]
 DeploymentName = Literal["dakar", "kalgara"]
-# Fresh seeds of the soak are drawn below this; chosen: they are short to write down.
-_SEEDS = 1_000_000
+# Exclusive upper bound of random seeds of the soak; keeps them short to write down.
+_SEED_LIMIT = 1_000_000
 
 
 def demo() -> int:
-    """Run a whole system on loopback, kill the primary, and check what sessions saw."""
+    """Run a whole system on loopback, kill the primary, and check what the sessions read."""
     return demo_module.demo()
 
 
@@ -75,11 +75,11 @@
     acknowledge: Acknowledge = Acknowledge.REPLICATED,
     json: Path | None = None,
 ) -> int:
-    """Run one experiment on real processes; the exit code is 1 where a promise was broken.
+    """Run one experiment on real processes; the exit code is 1 if a promise was broken.
 
-    :param experiment: what to do under load
-    :param deployment: whose sizes, latencies and classes to use
-    :param seed: seed of the callers
+    :param experiment: the fault or change to apply under load
+    :param deployment: the deployment whose sizes, latencies and classes are used
+    :param seed: random seed of the callers
     :param lag_ms: replay lag of the replicas, in milliseconds
     :param acknowledge: when commits are acknowledged
     :param json: file to write the report to
@@ -97,6 +97,7 @@
 
 
 def _write(path: Path | None, report: msgspec.Struct) -> None:
+    """Write the report as indented JSON, if a path was given."""
     if path is not None:
         path.write_bytes(msgspec.json.format(msgspec.json.encode(report)))
 
@@ -115,36 +116,36 @@
     plan: Path | None = None,
     folder: Path = Path("target/soak"),
 ) -> int:
-    """Play random faults against real proxies; the exit code is 1 where a promise was broken.
-
-    :param seed: seed of the first run; a fresh one without
-    :param runs: how many seeds, one after the other
-    :param seconds: how long callers ask, each run
-    :param proxies: how many proxies
-    :param connections: connections that an instance takes, over all proxies
-    :param promotions: aim the faults at changes of primary
-    :param groups: how many groups of instances, at most three
-    :param instances: how many instances each group starts with
-    :param position_term: the term that instances tell positions with
-    :param plan: file of an earlier run's faults, played instead of what the seed would draw
-    :param folder: folder for settings, logs and journals
+    """Inject random faults into real proxies; the exit code is 1 if a promise was broken.
+
+    :param seed: seed of the first run; random by default
+    :param runs: number of runs, one after the other, with consecutive seeds
+    :param seconds: how long callers send requests in each run
+    :param proxies: number of proxies
+    :param connections: maximum number of connections to an instance, over all proxies
+    :param promotions: concentrate the faults on changes of primary
+    :param groups: number of groups of instances, at most three
+    :param instances: initial number of instances in each group
+    :param position_term: which term instances report with their log positions
+    :param plan: file with the faults of an earlier run, injected instead of faults drawn by seed
+    :param folder: parent folder of each run's settings, logs and journals
     """
     sizes = SoakSizes(proxies, connections, groups, instances)
     times = InstanceTimes(position_term=position_term)
     planned = read_plan(plan) if plan is not None else None
-    first = random.SystemRandom().randrange(_SEEDS) if seed is None else seed
+    first = random.SystemRandom().randrange(_SEED_LIMIT) if seed is None else seed
     broken = 0
     for number in range(first, first + runs):
-        place = folder / str(number)
-        place.mkdir(parents=True, exist_ok=True)
+        run_folder = folder / str(number)
+        run_folder.mkdir(parents=True, exist_ok=True)
         run = run_soak(
-            number, seconds, place, sizes, promotions=promotions, times=times, plan=planned
+            number, seconds, run_folder, sizes, promotions=promotions, times=times, plan=planned
         )
         report = asyncio.run(run)
         broken += len(report.broken)
         print_soak(report)
         if report.broken:
-            (place / "trace.txt").write_text("\n".join([*report.broken, *report.traces, ""]))
+            (run_folder / "trace.txt").write_text("\n".join([*report.broken, *report.traces, ""]))
     return 1 if broken else 0
 
 
@@ -156,15 +157,15 @@
     seconds: float = 60.0,
     scenario: str | None = None,
 ) -> int:
-    """Search schedules of a change of primary, on a model; the exit code is 1 where one is broken.
+    """Explore schedules of a change of primary on a model; exit code 1 if one breaks a promise.
 
-    :param seeds: how many random schedules
-    :param first_seed: seed of the first of them
-    :param depth: play all schedules with at most so many deviations; 0 plays the scenarios alone
-    :param seconds: time for each of the two searches, on the machine's clock
-    :param scenario: play all schedules of this scenario only
+    :param seeds: number of random schedules
+    :param first_seed: seed of the first random schedule
+    :param depth: most deviations of a schedule in the exhaustive search; 0 runs plain scenarios
+    :param seconds: time limit of each of the two searches, in real time
+    :param scenario: limit the exhaustive search to this scenario
     """
-    # The parts of the product that are played would log each return of the store.
+    # The product code in the model would log each restore of the store from an older copy.
     logging.getLogger("orchidwind").setLevel(logging.ERROR)
     explorer = Explorer(ProductLogic(), seconds)
     names = tuple(SCENARIOS) if scenario is None else (scenario,)
@@ -175,10 +176,10 @@
 
 
 def laboratory(*scenarios: str, seeds: int = 3) -> int:
-    """Play load and faults on the decisions of six proxies, on virtual time; a line each.
+    """Run load and faults against six proxies on virtual time; print one line per scenario.
 
-    :param scenarios: names of `laboratory/scenarios.py`; all without
-    :param seeds: how many seeds, from 1 on
+    :param scenarios: names of scenarios in `laboratory/scenarios.py`; all by default
+    :param seeds: number of seeds, beginning with 1
     """
     logging.getLogger("orchidwind").setLevel(logging.CRITICAL)
     for scenario in scenarios or tuple(LABORATORY_SCENARIOS):
@@ -187,9 +188,9 @@
 
 
 def account(*logs: Path) -> int:
-    """Count the failed commands of proxies' logs by second, group and cause.
+    """Count the failed commands in the logs of proxies, by second, group and cause.
 
-    :param logs: the files
+    :param logs: the log files
     """
     for row in failed_commands(read_logs(logs)):
         print(f"{row.second:5} s {row.group:12} {row.count:6} {row.cause}")
--- a/src/orchidwind_bench/printing.py
+++ b/src/orchidwind_bench/printing.py
@@ -1,4 +1,4 @@
-"""What the commands of `orchidwind-bench` print of their reports. Holds no state."""
+"""Prints the reports of the `orchidwind-bench` commands. Holds no state."""
 
 from __future__ import annotations
 
@@ -13,28 +13,30 @@
 from orchidwind_bench.promoted.exploration.world import play
 from orchidwind_bench.promoted.laboratory.play import Figures
 
-# Of what broke, so many are printed; reports have all.
-_PRINTED_VIOLATIONS = 10
+# Maximum number of violations printed for a report; the report itself contains all of them.
+_MAX_PRINTED_VIOLATIONS = 10
 
 
 def print_progress(text: str) -> None:
-    """One line with the time of day."""
+    """Print one line that begins with the time of day."""
     print(f"{time.strftime('%H:%M:%S')} {text}", flush=True)
 
 
 def print_day(day: DayReport) -> None:
-    """The shares and costs of a day, then its report."""
+    """Print each group's replica share and processor time per statement, then the report."""
     shares = ", ".join(f"{name} {share:.3f}" for name, share in day.replica_share.items())
-    spent = ", ".join(f"{name} {value:.0f}" for name, value in day.processor_us_a_statement.items())
-    print(f"replica share by group: {shares}; processor us a statement: {spent}")
+    processor_us = ", ".join(
+        f"{name} {value:.0f}" for name, value in day.processor_us_a_statement.items()
+    )
+    print(f"replica share by group: {shares}; processor us a statement: {processor_us}")
     print_experiment(day.report)
 
 
 def print_experiment(report: ExperimentReport) -> None:
-    """Remarks, violations, gaps, and the figures of an experiment."""
+    """Print the remarks, violations, gaps and figures of an experiment."""
     for remark in report.remarks:
         print(remark)
-    for violation in report.violations[:_PRINTED_VIOLATIONS]:
+    for violation in report.violations[:_MAX_PRINTED_VIOLATIONS]:
         print(f"violation {violation}")
     if report.gaps_ms:
         print(_gaps_text(report))
@@ -51,6 +53,7 @@
 
 
 def _gaps_text(report: ExperimentReport) -> str:
+    """Return the line on the gaps, the promotion times and the reads during the gaps."""
     gaps = ", ".join(f"{gap:.0f}" for gap in report.gaps_ms)
     promotions = ", ".join(f"{item:.0f}" for item in report.promotion_ms)
     return (
@@ -60,21 +63,21 @@
 
 
 def print_soak(report: SoakReport) -> None:
-    """The figures of one seed; where a promise was broken, also its faults."""
+    """Print the figures of one seed; if a promise was broken, also the injected faults."""
     answers = ", ".join(f"{name} {count}" for name, count in sorted(report.answers.items()))
     print_progress(
         f"seed {report.seed}: {len(report.faults)} faults, {report.promotions} promotions,"
         f" {report.changes} changes of primary;"
         f" {answers}; broken {len(report.broken)}"
     )
-    for item in report.broken[:_PRINTED_VIOLATIONS]:
+    for item in report.broken[:_MAX_PRINTED_VIOLATIONS]:
         print(f"broken {item}")
     if report.broken:
         print("\n".join(report.faults))
 
 
 def print_exploration(report: ExplorationReport) -> None:
-    """Each finding with its trace, then the figures."""
+    """Print each finding with its trace, then the figures of the search."""
     for finding in report.findings:
         seed = finding.first_found.seed
         print(f"broken {finding.promise.name}: {finding.text}")
@@ -86,15 +89,20 @@
 
 
 def print_laboratory(scenario: str, plays: list[tuple[Figures, list[Figures]]]) -> None:
-    """The medians over the plays of one scenario; shares of operations, times in milliseconds."""
+    """Print one line with the medians over all runs of a scenario.
+
+    `plays` has, for each run, the figures of all operations and those of each kind. Results are
+    printed as shares of the operations, times in milliseconds.
+    """
 
-    def middle(name: str) -> float:
+    def median_of(name: str) -> float:
         return median(getattr(whole, name) for whole, _ in plays)
 
     kinds = zip(*(by_kind for _, by_kind in plays), strict=True)
     credits = " ".join(f"{median(item.credit for item in kind):.3f}" for kind in kinds)
     print_progress(
-        f"{scenario:9} credit {middle('credit'):.3f} ({credits}) in time {middle('in_time'):.3f}"
-        f" late {middle('late'):.3f} refused {middle('refused'):.3f} failed {middle('failed'):.3f}"
-        f" p50 {middle('median') * 1000:.0f} p99 {middle('slowest') * 1000:.0f}"
+        f"{scenario:9} credit {median_of('credit'):.3f} ({credits})"
+        f" in time {median_of('in_time'):.3f} late {median_of('late'):.3f}"
+        f" refused {median_of('refused'):.3f} failed {median_of('failed'):.3f}"
+        f" p50 {median_of('median') * 1000:.0f} p99 {median_of('slowest') * 1000:.0f}"
     )
--- a/src/orchidwind_bench/processes.py
+++ b/src/orchidwind_bench/processes.py
@@ -1,4 +1,4 @@
-"""Starts and stops the project's own programs for the bench, the demo and the tests."""
+"""Starts and stops the project's programs as processes, for the bench, the demo and the tests."""
 
 from __future__ import annotations
 
@@ -14,41 +14,44 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-_STOP_SECONDS = 10.0
+_STOP_TIMEOUT_SECONDS = 10.0
 _POLL_SECONDS = 0.02
 _LOOPBACK = "127.0.0.1"
-# Below the range from which the system draws ports for outgoing connections, so that none is taken
-# between the check and the start of the process that listens there.
-_PORTS = range(15_000, 32_000)
-# A process draws from blocks of its own, each held by listening on its first port: else two runs
-# side by side find the same port free, and one of their programs cannot listen.
-_BLOCK_PORTS = 500
-_held_blocks: list[socket.socket] = []
-_own_ports: deque[int] = deque()
+# Below the range from which the system assigns ports to outgoing connections, so that no outgoing
+# connection occupies a port between the check and the start of the process that listens on it.
+_PORT_RANGE = range(15_000, 32_000)
+# Each test or bench process reserves whole blocks of ports by listening on the first port of each.
+# Without this, two concurrent runs find the same port free, and a program of one cannot listen.
+_PORTS_PER_BLOCK = 500
+_block_guards: list[socket.socket] = []
+_reserved_ports: deque[int] = deque()
 
 
 def free_ports(count: int) -> list[int]:
-    """Ports that are free on loopback now, for TCP and UDP, and drawn by no other run of ours.
+    """Return distinct loopback ports that are free for TCP and UDP and reserved by this process.
 
-    Raises OSError where there are not so many.
+    Raises OSError if more ports are needed and no block is left to reserve.
     """
     found: list[int] = []
     tried = 0
     while len(found) < count:
-        if tried >= len(_own_ports):
-            _own_ports.extendleft(reversed(_hold_block()))
+        if tried >= len(_reserved_ports):
+            _reserved_ports.extendleft(reversed(_reserve_block()))
             tried = 0
-        port = _own_ports.popleft()
-        _own_ports.append(port)
+        port = _reserved_ports.popleft()
+        _reserved_ports.append(port)
         tried += 1
         if port not in found and _is_free(port):
             found.append(port)
     return found
 
 
-def _hold_block() -> range:
-    """The ports of a block that nobody holds; raises OSError where there is none."""
-    starts = list(_PORTS[::_BLOCK_PORTS])
+def _reserve_block() -> range:
+    """Reserve a free block and return its ports without the first, which guards the block.
+
+    Raises OSError if every block is reserved.
+    """
+    starts = list(_PORT_RANGE[::_PORTS_PER_BLOCK])
     random.SystemRandom().shuffle(starts)
     for start in starts:
         guard = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -58,12 +61,13 @@
         except OSError:
             guard.close()
             continue
-        _held_blocks.append(guard)
-        return range(start + 1, start + _BLOCK_PORTS)
-    raise OSError("every block of ports is held")
+        _block_guards.append(guard)
+        return range(start + 1, start + _PORTS_PER_BLOCK)
+    raise OSError("every block of ports is reserved")
 
 
 def _is_free(port: int) -> bool:
+    """Return whether the port can be bound on loopback for both TCP and UDP."""
     for kind in (socket.SOCK_STREAM, socket.SOCK_DGRAM):
         with socket.socket(socket.AF_INET, kind) as probe:
             try:
@@ -75,39 +79,39 @@
 
 @dataclass
 class Program:
-    """One running process of ours."""
+    """A process that runs one of the project's programs."""
 
     name: str
     process: subprocess.Popen[bytes]
 
     def kill(self) -> None:
-        """SIGKILL."""
+        """Send SIGKILL and wait until the process has ended."""
         self.process.kill()
         self.process.wait()
 
     def freeze(self) -> None:
-        """SIGSTOP: the process holds its sockets and does nothing."""
+        """Send SIGSTOP: the process keeps its sockets open and executes nothing."""
         os.kill(self.process.pid, signal.SIGSTOP)
 
     def thaw(self) -> None:
-        """SIGCONT."""
+        """Send SIGCONT: a frozen process continues."""
         os.kill(self.process.pid, signal.SIGCONT)
 
     def terminate(self) -> None:
-        """SIGTERM: a planned stop."""
+        """Send SIGTERM, which asks for an orderly shutdown; does not wait for it."""
         self.process.terminate()
 
     def reload(self) -> None:
-        """SIGHUP: the settings file has changed."""
+        """Send SIGHUP, which tells the process that its settings file has changed."""
         os.kill(self.process.pid, signal.SIGHUP)
 
     @property
     def running(self) -> bool:
-        """Whether the process has not ended."""
+        """Whether the process is still running."""
         return self.process.poll() is None
 
     def processor_seconds(self) -> float:
-        """User and system time so far; 0 once it has ended."""
+        """Return the user and system CPU time used so far; 0 if `/proc` has no entry for it."""
         try:
             fields = Path(f"/proc/{self.process.pid}/stat").read_text().rpartition(")")[2].split()
         except OSError:
@@ -117,7 +121,7 @@
 
 
 class Programs:
-    """All processes of one run; the context ends them whatever happens."""
+    """The processes of one run, by name. Leaving the context ends all of them, also on errors."""
 
     def __init__(self, log_folder: Path) -> None:
         self.running: dict[str, Program] = {}
@@ -130,7 +134,10 @@
         self.stop_all()
 
     def start(self, name: str, module: str, arguments: Sequence[str]) -> Program:
-        """Start a module's `main` as a process; its output goes to a file of the run's folder."""
+        """Run `main` of a module in a new process and return it.
+
+        Its output is appended to `NAME.log` in the log folder.
+        """
         with (self._log_folder / f"{name}.log").open("ab") as log:
             process = subprocess.Popen(
                 [sys.executable, "-c", f"from {module} import main; main()", *arguments],
@@ -143,7 +150,11 @@
         return program
 
     def stop_all(self) -> None:
-        """End every process by its number: first asked, then killed."""
+        """End every process and wait for it.
+
+        Proxies are killed at once. Other processes are terminated, and killed if they do not end
+        in time.
+        """
         for program in self.running.values():
             if program.running:
                 program.thaw()
@@ -152,9 +163,10 @@
         self.running.clear()
 
     def _wait(self, programs: Iterable[Program]) -> None:
-        bound = time.monotonic() + _STOP_SECONDS
+        """Wait for all processes with one common deadline; kill those that exceed it."""
+        deadline = time.monotonic() + _STOP_TIMEOUT_SECONDS
         for program in programs:
             try:
-                program.process.wait(max(bound - time.monotonic(), _POLL_SECONDS))
+                program.process.wait(max(deadline - time.monotonic(), _POLL_SECONDS))
             except subprocess.TimeoutExpired:
                 program.kill()
--- a/src/orchidwind_bench/promoted/__init__.py
+++ b/src/orchidwind_bench/promoted/__init__.py
@@ -1,1 +1,1 @@
-"""Simulator and explorer of promoted groups."""
+"""Simulation, schedule exploration and load tests of promoted groups."""
--- a/src/orchidwind_bench/promoted/laboratory/__init__.py
+++ b/src/orchidwind_bench/promoted/laboratory/__init__.py
@@ -1,1 +1,1 @@
-"""Load on the decisions of a proxy, on virtual time and without a network."""
+"""Load tests of the proxy's decisions, on virtual time and without a network."""
--- a/src/orchidwind_bench/promoted/laboratory/load.py
+++ b/src/orchidwind_bench/promoted/laboratory/load.py
@@ -1,8 +1,8 @@
-"""Callers of the laboratory: kinds of requests, open-loop arrivals, and what came of each.
+"""Callers of the load tests: kinds of requests and the outcome of each operation.
 
-For: `laboratory.play`. Owns the outcome of each operation as its caller sees it, with the repeats
-that the first users' clients make: an operation is tried again whole, at most twice, within its
-deadline, unless what it wrote may have run.
+Used by `laboratory.play`. Determines the outcome of each operation as its caller sees it, with the
+retries of the first users' clients: the whole operation is retried at most twice, within its
+deadline, unless its write may have been executed.
 """
 
 from __future__ import annotations
@@ -17,16 +17,19 @@
 from orchidwind.shared.core.errors import ANSWERS, ErrorKind, Ran, RequestError
 from orchidwind_bench.promoted.simulation.callers import SimulatedCaller
 
-MOST_REPEATS = 2
-# Without a time to come back, clients wait for half to one and a half of this, seconds.
+MAX_RETRIES = 2
+# Without a retry time in the answer, clients wait for 0.5 to 1.5 times this before a retry.
 _REPEAT_PAUSE_SECONDS = 0.05
 
 
 @dataclass(frozen=True, slots=True)
 class LoadKind:
-    """One kind of request. Times are in seconds; `share` is of all arrivals.
+    """One kind of request. Times are in seconds.
 
-    `credit` is what an answer in time is worth, `late_credit` one that comes later.
+    `share` is its part of all arrivals, `work` the mean execution time of a statement, `target` the
+    latency up to which an answer is in time, `deadline` the time after which no retry begins, and
+    `writes` the share of writes. `credit` is the value of an answer in time, `late_credit` that of
+    a later one.
     """
 
     consistency: ReadConsistency
@@ -40,7 +43,7 @@
     writes: float
 
 
-# The shares, works and targets of the first users' busiest workload.
+# Shares, execution times and latency targets of the first users' busiest workload.
 KINDS = (
     LoadKind(ReadConsistency.LATEST, 0.15, 0.0045, 0.12, 0.8, 2.0, 0.2, 1, 0.4),
     LoadKind(ReadConsistency.BOUNDED, 0.15, 0.022, 0.4, 2.5, 1.0, 0.1, 2, 0.0),
@@ -50,7 +53,7 @@
 
 @unique
 class Result(Enum):
-    """What came of an operation."""
+    """The result of an operation after its last attempt."""
 
     IN_TIME = "in time"
     LATE = "late"
@@ -60,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OperationOutcome:
-    """One operation, from its first attempt on."""
+    """The outcome of one operation; `began` is the start of its first attempt."""
 
     kind: LoadKind
     began: float
@@ -69,32 +72,35 @@
 
     @property
     def credit(self) -> float:
-        """What its caller got."""
+        """The value of the answer to the caller; 0 if refused or failed."""
         if self.result is Result.IN_TIME:
             return self.kind.credit
         return self.kind.late_credit if self.result is Result.LATE else 0.0
 
 
 class WorkPlan(Protocol):
-    """Where the work of each request is written down, and after how long attempts were refused."""
+    """The execution time of each running request, and how long each refused attempt had waited.
+
+    `work` maps request ids to seconds; `refused_after` is in seconds as well.
+    """
 
     work: dict[str, float]
     refused_after: list[float]
 
     def draw_work(self, kind: LoadKind) -> float:
-        """The seconds that one statement of a kind takes."""
+        """Return a random execution time for a statement of a kind, in seconds."""
 
 
 class LoadCaller(SimulatedCaller):
-    """One session that carries out one operation at a time."""
+    """A session that runs one operation at a time."""
 
     plan: WorkPlan
 
-    async def operate(self, kind: LoadKind) -> OperationOutcome:
-        """One operation and its repeats."""
+    async def run_operation(self, kind: LoadKind) -> OperationOutcome:
+        """Run one operation with its retries and return the outcome."""
         began = self._system.world.now
         error: ErrorKind | None = None
-        for attempt in range(1 + MOST_REPEATS):
+        for attempt in range(1 + MAX_RETRIES):
             write = self._random.random() < kind.writes
             error, retry_after = await self._attempt(kind, write)
             now = self._system.world.now
@@ -102,7 +108,7 @@
                 in_time = now - began <= kind.target
                 result = Result.IN_TIME if in_time else Result.LATE
                 return OperationOutcome(kind, began, now, result)
-            if attempt == MOST_REPEATS or not self._may_repeat(error, write):
+            if attempt == MAX_RETRIES or not self._may_repeat(error, write):
                 break
             if now + retry_after - began >= kind.deadline:
                 break
@@ -113,19 +119,19 @@
         return OperationOutcome(kind, began, self._system.world.now, result)
 
     async def _attempt(self, kind: LoadKind, write: bool) -> tuple[ErrorKind | None, float]:
-        """What the attempt was answered, and in how many seconds to come back."""
+        """Run one statement; return its error, if any, and the seconds to wait before a retry."""
         text = "WRITE x y" if write else "READ x"
         command = self._command(CommandKind.WRITE if write else CommandKind.READ, text)
         self.plan.work[command.request_id] = self.plan.draw_work(kind)
-        asked_at = self._system.world.now
+        sent_at = self._system.world.now
         pause = _REPEAT_PAUSE_SECONDS * (0.5 + self._random.random())
         try:
             await self._run(command)
         except RequestError as error:
             if ANSWERS[error.kind].ran is Ran.NO:
-                self.plan.refused_after.append(self._system.world.now - asked_at)
-            told = error.retry_after_milliseconds
-            return error.kind, pause if told is None else told / 1000
+                self.plan.refused_after.append(self._system.world.now - sent_at)
+            retry_after = error.retry_after_milliseconds
+            return error.kind, pause if retry_after is None else retry_after / 1000
         finally:
             self.plan.work.pop(command.request_id, None)
         if write:
@@ -135,4 +141,5 @@
 
     @staticmethod
     def _may_repeat(error: ErrorKind, write: bool) -> bool:
+        """Return whether a retry cannot execute a write twice."""
         return ANSWERS[error].ran is Ran.NO or not write
--- a/src/orchidwind_bench/promoted/laboratory/play.py
+++ b/src/orchidwind_bench/promoted/laboratory/play.py
@@ -1,8 +1,8 @@
-"""Plays load and faults on proxies and one group of instances with slots, on virtual time.
+"""Runs load and faults against proxies and one group of instances, on virtual time.
 
-What for: the decisions of the product (placing, queueing, refusing, leaving an instance out) run as
-they are in real proxies; only sockets, store and instances are simulated. Owns the plan of one play
-and its figures. Relies on the simulated fleet.
+The decisions of the proxy (placing, queueing and refusing requests, excluding an instance) run the
+product's code; only sockets, the store and the instances are simulated. Defines the plan of one run
+and its figures. Builds on the simulated fleet. Each instance has a limited number of slots.
 """
 
 from __future__ import annotations
@@ -34,23 +34,27 @@
 SLOTS = 3
 QUEUE_BOUND = 24
 CONNECTION_LIMIT = 63
-# Spread of the work of one kind: the standard deviation of its logarithm.
+# Execution times of one kind are log-normal: the standard deviation of their logarithm.
 _WORK_SPREAD = 0.7
 _SETTLE_SECONDS = 2.0
 
-# How unlike the tenants' parts of the load are: the least of 60 has a twelfth of the greatest.
-_EVENNESS = 5
-# The quotas together are many times what the instances can carry out.
-_QUOTA_OF_ALL = 50_000.0
+# Tenant number N has a share of the load proportional to 1 / (N + this): of 60 tenants, the last
+# has a twelfth of the share of the first.
+_TENANT_WEIGHT_OFFSET = 5
+# Scale of the quotas: together they are many times the capacity of the instances.
+_QUOTA_SCALE = 50_000.0
 
 Fault = Callable[[FleetSystem], None]
 
 
 @dataclass(frozen=True, slots=True)
 class LoadPlan:
-    """`load` is the share of the instances' slots that arrivals ask for; `faults` by second.
+    """Load and faults of one run.
 
-    `tenants`: so many share the load, the next one always a little less; 0: callers need no key.
+    `load` is the offered load as a fraction of the capacity of all slots. `faults` are pairs of a
+    time, in seconds from the start of the load, and the fault. `tenants` is the number of tenants
+    that share the load, each with a slightly smaller share than the one before; with 0, callers
+    need no key.
     """
 
     load: float = 0.5
@@ -61,7 +65,7 @@
 
 
 class LaboratorySystem(FleetSystem):
-    """Six proxies, all of them homes, before one group of three instances."""
+    """Six proxies, all of them home proxies, in front of one group of three instances."""
 
     def __init__(self, seed: int, tenants: int = 0) -> None:
         super().__init__(seed, PROXIES, ("group",), CONNECTION_LIMIT)
@@ -74,17 +78,18 @@
         for name in INSTANCES:
             instance = self.side.group.instances[name]
             instance.slots = InstanceSlots(SLOTS, QUEUE_BOUND, self._work_of)
-        self._configure()
+        self._put_configuration()
 
     @property
     def side(self) -> GroupSide:
-        """The one group as its callers see it."""
+        """The only group, as its callers see it."""
         return self.sides["group"]
 
-    def _configure(self) -> None:
-        held = self.world.store.configuration
-        assert held is not None
-        databases = dict(held.databases)
+    def _put_configuration(self) -> None:
+        """Store a configuration with the latency targets of the request kinds and the tenants."""
+        configuration = self.world.store.configuration
+        assert configuration is not None
+        databases = dict(configuration.databases)
         for kind in KINDS:
             name = kind.consistency.value
             databases[name] = replace(
@@ -95,53 +100,56 @@
             )
         self.world.store.put_configuration(
             replace(
-                held,
-                version=held.version + 1,
+                configuration,
+                version=configuration.version + 1,
                 databases=databases,
                 tenants=tuple(self._tenants) or None,
             )
         )
 
     def _work_of(self, request_id: str) -> float:
+        """Return the execution time of a request, in seconds; 1 ms for any other statement."""
         return self.work.get(request_id, 0.001)
 
     def draw_work(self, kind: LoadKind) -> float:
-        """The seconds that one statement of a kind takes."""
+        """Return a log-normal execution time with the mean of the kind, in seconds."""
         centre = log(kind.work) - _WORK_SPREAD**2 / 2
         return exp(self.world.random.gauss(centre, _WORK_SPREAD))
 
     async def play(self, plan: LoadPlan) -> list[OperationOutcome]:
-        """Let callers arrive as planned; what came of each operation."""
+        """Run the planned load and faults; return the outcome of each operation."""
         loop = asyncio.get_running_loop()
         await self.settle()
         await asyncio.sleep(_SETTLE_SECONDS)
         self.began_at = loop.time()
-        upkeep = loop.create_task(self.side.group.keep_shipping())
+        shipping = loop.create_task(self.side.group.keep_shipping())
         for at, fault in plan.faults:
             loop.call_later(at, fault, self)
         operations = []
-        rate = self._rate(plan.load)
+        rate = self._arrival_rate(plan.load)
         while loop.time() < self.began_at + plan.seconds:
             await asyncio.sleep(self.world.random.expovariate(rate))
             kind = self.world.random.choices(KINDS, [kind.share for kind in KINDS])[0]
             node = self.world.random.choice(PROXIES)
             operations.append(loop.create_task(self._operate(node, kind)))
         outcomes = await asyncio.gather(*operations)
-        upkeep.cancel()
+        shipping.cancel()
         return outcomes
 
-    def _rate(self, load: float) -> float:
+    def _arrival_rate(self, load: float) -> float:
+        """Return the arrivals per second that occupy this fraction of all slots."""
         mean = sum(kind.share * kind.work for kind in KINDS)
         return load * SLOTS * len(self.side.group.instances) / mean
 
     async def _operate(self, node: str, kind: LoadKind) -> OperationOutcome:
+        """Run one operation through a proxy, in an idle session if there is one."""
         tenant = NO_TENANT
         if self._tenants:
             weights = [tenant.rate for tenant in self._tenants]
             tenant = self.world.random.choices(self._tenants, weights)[0].name
         idle = self._idle.setdefault((node, kind, tenant), [])
         caller = idle.pop() if idle else self._new_caller(node, kind, tenant)
-        outcome = await caller.operate(kind)
+        outcome = await caller.run_operation(kind)
         idle.append(caller)
         return outcome
 
@@ -155,14 +163,14 @@
 
 
 def _tenant(number: int) -> Tenant:
-    """One of many tenants, with a quota far above what it asks."""
+    """Create a tenant whose quota is far above the load that it sends."""
     name = f"tenant-{number}"
-    quota = _QUOTA_OF_ALL / (number + _EVENNESS)
+    quota = _QUOTA_SCALE / (number + _TENANT_WEIGHT_OFFSET)
     return Tenant(name, (key_digest(name),), quota, quota)
 
 
 def slots(system: FleetSystem, name: str) -> InstanceSlots:
-    """The slots of one instance; faults change them."""
+    """Return the slots of an instance, which faults modify."""
     found = system.sides["group"].group.instances[name].slots
     assert found is not None
     return found
@@ -170,7 +178,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Figures:
-    """What callers got in a time. `credit` is the share of what all of them could have got."""
+    """Results of the operations that began in a period.
+
+    `credit` is a fraction of the credit that these operations could have earned. `in_time`, `late`,
+    `refused` and `failed` are fractions of the operations. `median` and `slowest` (the 99th
+    percentile) are latencies of the answered operations, in seconds.
+    """
 
     operations: int
     credit: float
@@ -185,7 +198,7 @@
 def figures(
     outcomes: list[OperationOutcome], since: float, until: float, kind: LoadKind | None = None
 ) -> Figures:
-    """Of the operations that began in a time, of one kind or of all."""
+    """Return the figures of the operations that began in a period, of one kind or of all kinds."""
     chosen = [
         item
         for item in outcomes
@@ -198,10 +211,10 @@
     shares = {
         result: sum(item.result is result for item in chosen) / max(count, 1) for result in Result
     }
-    owed = sum(item.kind.credit for item in chosen)
+    possible_credit = sum(item.kind.credit for item in chosen)
     return Figures(
         operations=count,
-        credit=sum(item.credit for item in chosen) / owed if owed else 1.0,
+        credit=sum(item.credit for item in chosen) / possible_credit if possible_credit else 1.0,
         in_time=shares[Result.IN_TIME],
         late=shares[Result.LATE],
         refused=shares[Result.REFUSED],
@@ -213,11 +226,11 @@
 
 @dataclass(frozen=True, slots=True)
 class PlayedLoad:
-    """One play: its outcomes, with times from the first arrival on, and what was broken.
+    """The outcomes of one run and the promises that were broken.
 
-    `connections_opened`: to instances, from the start on. `completed` has how many statements each
-    instance has carried out, `refused_after` for how many seconds each attempt that was refused had
-    waited.
+    `began_at` is the virtual time at which the load began. `completed` is the number of statements
+    that each instance has executed, `refused_after` the seconds that each refused attempt had
+    waited, and `connections_opened` the number of connections opened to instances since the start.
     """
 
     outcomes: list[OperationOutcome]
@@ -228,13 +241,13 @@
     connections_opened: int
 
     def figures(self, since: float, until: float, kind: LoadKind | None = None) -> Figures:
-        """What callers got in a time, in seconds from the first arrival on."""
+        """Return the figures of a period given in seconds from the start of the load."""
         return figures(self.outcomes, self.began_at + since, self.began_at + until, kind)
 
 
 def play_load(plan: LoadPlan) -> PlayedLoad:
-    """Play one plan on virtual time."""
-    random.seed(plan.seed)  # the product's own pauses
+    """Run one plan on virtual time."""
+    random.seed(plan.seed)  # makes the product's random pauses reproducible
 
     async def work() -> PlayedLoad:
         system = LaboratorySystem(plan.seed, plan.tenants)
--- a/src/orchidwind_bench/promoted/laboratory/scenarios.py
+++ b/src/orchidwind_bench/promoted/laboratory/scenarios.py
@@ -1,7 +1,7 @@
-"""Named loads and faults of the laboratory, and what callers get in each.
+"""Named scenarios of load and faults, and the figures of each.
 
-For: `orchidwind-bench laboratory` and the tests of load. Owns the scenarios. The faults last from
-`FAULT_FROM` to `FAULT_UNTIL`, in seconds from the first arrival on; the figures are of that time.
+Used by `orchidwind-bench laboratory` and the load tests. Faults last from `FAULT_FROM` to
+`FAULT_UNTIL`, in seconds from the start of the load; the figures cover the same period.
 """
 
 from __future__ import annotations
@@ -25,7 +25,10 @@
 
 
 def hang(hung: bool) -> Fault:
-    """A replica takes connections and status queries, and ends no statement."""
+    """Return a fault: a replica accepts connections, answers status queries, ends no statement.
+
+    With `hung` false, the replica works normally again.
+    """
 
     def fault(system: FleetSystem) -> None:
         slots(system, REPLICA).hung = hung
@@ -34,7 +37,7 @@
 
 
 def slow(factor: float) -> Fault:
-    """A replica's work takes so many times as long."""
+    """Return a fault that multiplies the execution times of a replica by `factor`."""
 
     def fault(system: FleetSystem) -> None:
         slots(system, REPLICA).slowness = factor
@@ -43,7 +46,7 @@
 
 
 def lose_answers(share: float) -> Fault:
-    """A share of the primary's answers is lost."""
+    """Return a fault that loses the given fraction of the primary's answers."""
 
     def fault(system: FleetSystem) -> None:
         system.sides["group"].group.instances[PRIMARY].lose_answers = share
@@ -52,7 +55,7 @@
 
 
 def lag(seconds: float) -> Fault:
-    """Reads at both replicas see what was received so long ago."""
+    """Return a fault that delays the replay of received log entries on both replicas."""
 
     def fault(system: FleetSystem) -> None:
         for name in INSTANCES[1:]:
@@ -62,15 +65,17 @@
 
 
 def between(begin: Fault, end: Fault) -> tuple[tuple[float, Fault], ...]:
-    """A fault that begins and ends at the times above."""
+    """Schedule `begin` at `FAULT_FROM` and `end` at `FAULT_UNTIL`."""
     return ((FAULT_FROM, begin), (FAULT_UNTIL, end))
 
 
 def _faulty(load: float, begin: Fault, end: Fault) -> Callable[[int], LoadPlan]:
+    """Return a factory of plans by seed, with a constant load and one fault."""
     return lambda seed: LoadPlan(load, faults=between(begin, end), seed=seed)
 
 
 def _loaded(load: float) -> Callable[[int], LoadPlan]:
+    """Return a factory of plans by seed, with a constant load and no faults."""
     return lambda seed: LoadPlan(load, seed=seed)
 
 
@@ -89,7 +94,7 @@
 
 
 def figures_of(scenario: str, seed: int) -> tuple[Figures, list[Figures]]:
-    """Play one scenario; the figures of all callers, and those of each kind of request."""
+    """Run one scenario; return the figures of all operations and those of each kind of request."""
     played = play_load(SCENARIOS[scenario](seed))
     assert not played.broken, played.broken
     by_kind = [played.figures(FAULT_FROM, FAULT_UNTIL, kind) for kind in KINDS]
