--- a/tests/shared/test_quota.py
+++ b/tests/shared/test_quota.py
@@ -140,6 +140,22 @@
 # --- shares ---------------------------------------------------------------------------------------
 
 
+def test_some_proxy_has_a_share_while_the_holders_are_replaced():
+    """Guards against refusing all operations while other proxies become the holders.
+
+    A proxy that starts first names itself the only holder. Once the others run, the homes are
+    other proxies, and the object names both sets. A proxy in only one of them has no share, so
+    no operation of any tenant passes for `SETTLE_SECONDS`.
+    """
+    first = next_shares(QuotaShares(), ["proxy-3"], known_for=0.0)
+    assert first is not None
+    held = QuotaShares(first.holders, first.following, StoreRevision(7))
+    during = next_shares(held, ["proxy-0", "proxy-4"], known_for=SETTLE_SECONDS)
+    assert during is not None
+    total = sum(during.share_of(name) for name in ("proxy-0", "proxy-3", "proxy-4"))
+    assert 0.0 < total <= 1.0
+
+
 def test_shares_change_in_two_steps_and_never_add_up_to_more_than_one():
     held = next_shares(QuotaShares(), ["a", "b"], known_for=0.0)
     assert held == QuotaShares(("a", "b"))
